--- a/include/gooseberrylift/streams/gooseberrylift-event-splitter.h
+++ b/include/gooseberrylift/streams/gooseberrylift-event-splitter.h
@@ -1,6 +1,6 @@
-// Splits the bytes of an event stream into whole events with their ids, so
-// that a stream that breaks off in the middle of an event can be continued
-// elsewhere without a torn, missing or repeated piece.
+// Splits an event stream into complete events and their ids, so that a stream
+// that breaks off within an event can be continued from another engine without
+// a truncated, missing or repeated event.
 
 #ifndef GOOSEBERRYLIFT_STREAMS_GOOSEBERRYLIFT_EVENT_SPLITTER_H_
 #define GOOSEBERRYLIFT_STREAMS_GOOSEBERRYLIFT_EVENT_SPLITTER_H_
@@ -12,58 +12,58 @@
 
 namespace gooseberrylift {
 
-// One event as it came, with the empty line that ends it.
+// One event as received, with the empty line that ends it.
 struct StreamEvent
 {
   std::string bytes_;
-  std::optional<std::uint64_t> id_; // none when it has no numeric id
+  std::optional<std::uint64_t> id_; // absent if it has no numeric id
 };
 
-// Takes pieces as they come and gives whole events:
+// Assembles complete events from chunks of any size:
 //
 //   EventSplitter splitter;
-//   splitter.Feed(piece);
+//   splitter.Feed(chunk);
 //   while (auto event = splitter.Next()) ...
 class EventSplitter
 {
 public:
-  /// Adds bytes of the body.
-  void Feed(std::string_view aPiece) { text_ += aPiece; }
+  /// Appends bytes of the body.
+  void Feed(std::string_view aBytes) { buffer_ += aBytes; }
 
-  /// Gives the next whole event; nothing while it is incomplete.
+  /// Returns the next complete event; nothing if there is none yet.
   std::optional<StreamEvent> Next();
 
-  /// Gives the bytes of an event that is not whole yet.
-  std::size_t Pending() const { return text_.size() - begin_; }
+  /// Returns the number of buffered bytes that are not yet returned as events.
+  std::size_t Pending() const { return buffer_.size() - begin_; }
 
 private:
-  std::string text_;
+  std::string buffer_;
   std::size_t begin_ = 0;
 };
 
-// Checks that the events of one answer follow each other, whichever engines
-// they come from. The ids of a stream rise by one. Not thread-safe.
+// Checks that the event ids of one response are consecutive, whichever engines
+// the events come from. Not thread-safe.
 class EventSequence
 {
 public:
-  // What is to be done with an event.
+  // How to handle an event.
   enum class Verdict
   {
     kPass,
-    kRepeated, // was passed on already: leave it out
-    kBroken    // one before it is missing: the stream can't go on
+    kRepeated, // already forwarded: drop it
+    kBroken    // an earlier event is missing: abort the stream
   };
 
-  /// Begins after the event that the caller has already.
+  /// Starts after the last event that the caller has received.
   explicit EventSequence(std::optional<std::uint64_t> aLastId)
     : last_(aLastId)
   {
   }
 
-  /// Judges the next event; one that passes becomes the last.
+  /// Checks the next event; one that passes becomes the last.
   Verdict Take(const StreamEvent& aEvent);
 
-  /// Gives the id of the last event that passed; nothing before the first.
+  /// Returns the id of the last event that passed; nothing before the first.
   std::optional<std::uint64_t> Last() const { return last_; }
 
 private:
--- a/src/core/streams/gooseberrylift-event-splitter.cc
+++ b/src/core/streams/gooseberrylift-event-splitter.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Reads the value of the line "id: N" of an event.
-std::optional<std::uint64_t> IdOf(std::string_view aEvent)
+// Parses the number in the "id: N" line of an event.
+std::optional<std::uint64_t> ParseEventId(std::string_view aEvent)
 {
   constexpr std::string_view kField = "id:";
   while (!aEvent.empty()) {
@@ -23,9 +23,9 @@
       line.remove_prefix(1);
     }
     std::uint64_t id = 0;
-    const auto [rest, fault] =
+    const auto [rest, error] =
       std::from_chars(line.data(), line.data() + line.size(), id);
-    if (fault == std::errc{}) {
+    if (error == std::errc{}) {
       return id;
     }
     return std::nullopt;
@@ -38,18 +38,18 @@
 std::optional<StreamEvent> EventSplitter::Next()
 {
   // An event ends with an empty line; its lines end with LF or CR LF.
-  const std::size_t plain = text_.find("\n\n", begin_);
-  const std::size_t withReturn = text_.find("\n\r\n", begin_);
-  const std::size_t end = std::min(plain, withReturn);
+  const std::size_t lfEnd = buffer_.find("\n\n", begin_);
+  const std::size_t crlfEnd = buffer_.find("\n\r\n", begin_);
+  const std::size_t end = std::min(lfEnd, crlfEnd);
   if (end == std::string::npos) {
-    text_.erase(0, begin_);
+    buffer_.erase(0, begin_);
     begin_ = 0;
     return std::nullopt;
   }
-  const std::size_t after = end + (end == plain ? 2 : 3);
-  StreamEvent event{ .bytes_ = text_.substr(begin_, after - begin_),
+  const std::size_t after = end + (end == lfEnd ? 2 : 3);
+  StreamEvent event{ .bytes_ = buffer_.substr(begin_, after - begin_),
                      .id_ = std::nullopt };
-  event.id_ = IdOf(event.bytes_);
+  event.id_ = ParseEventId(event.bytes_);
   begin_ = after;
   return event;
 }
--- a/test/core/gooseberrylift-event-splitter-test.cc
+++ b/test/core/gooseberrylift-event-splitter-test.cc
@@ -18,7 +18,7 @@
   EventSplitter splitter_;
 };
 
-TEST(EventSplitterTest, GivesAnEventOnlyOnceItIsWhole)
+TEST(EventSplitterTest, ReturnsAnEventOnlyOnceItIsComplete)
 {
   const std::string text = EventText(1);
   splitter_.Feed(text.substr(0, text.size() - 1));
@@ -31,7 +31,7 @@
   LONGS_EQUAL(0, splitter_.Pending());
 }
 
-TEST(EventSplitterTest, SplitsAnyCutOfTheBytesAlike)
+TEST(EventSplitterTest, SplitsTheSameEventsForAnyChunkBoundary)
 {
   const std::string text = EventText(1) + "data: no id\r\n\r\n" + EventText(2);
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -52,10 +52,10 @@
 
 TEST_GROUP(EventSequenceTest){};
 
-// The caller has event 12 and goes on; the second engine repeats one that the
-// first had sent, and a third leaves one out. Passed on, either would be joined
-// to the stream unseen.
-TEST(EventSequenceTest, LeavesOutRepeatedEventsAndStopsAtAMissingOne)
+// Guards against a corrupt stream after a change of engine. The caller has
+// event 12; the second engine repeats an event that the first one sent, and a
+// third skips one. Forwarding either would go unnoticed by the caller.
+TEST(EventSequenceTest, DropsDuplicateEventsAndStopsAtAGap)
 {
   EventSequence sequence(12);
   using enum EventSequence::Verdict;
@@ -66,7 +66,7 @@
   LONGS_EQUAL(14, *sequence.Last());
 }
 
-TEST(EventSequenceTest, TakesTheFirstIdAsItComes)
+TEST(EventSequenceTest, AcceptsAnyFirstId)
 {
   EventSequence sequence(std::nullopt);
   CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 5 }) ==
