--- a/include/gooseberrylift/routing/gooseberrylift-endpoint-directory.h
+++ b/include/gooseberrylift/routing/gooseberrylift-endpoint-directory.h
@@ -1,5 +1,5 @@
-// Which endpoints stand behind each service, as the platform's store lists
-// them, and which of them may still get requests.
+// Directory of the endpoints of each service, as the platform's store lists
+// them, and whether each may receive new requests.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_DIRECTORY_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_DIRECTORY_H_
@@ -16,37 +16,46 @@
 
 namespace gooseberrylift {
 
-// One incarnation of an endpoint: its id and the time of its start. An endpoint
-// may start again under the id that it had, and then knows nothing of before.
+// One incarnation of an endpoint, identified by its id and start time. An
+// endpoint that restarts under the same id has lost the state of its previous
+// incarnation.
 struct ListedEndpoint
 {
   std::string id_;
-  BirthTime born_{}; // the epoch where the platform states none
+  BirthTime born_{}; // the epoch if the platform gives no start time
   std::string service_;
   std::string address_; // IP:port
   std::string zone_;
   int slots_ = 1;
   bool leaving_ = false;
-  std::chrono::milliseconds coldFor_{ 0 }; // slower than usual for so long
+  // Remaining time of slower service after a start.
+  std::chrono::milliseconds coldFor_{ 0 };
 
   Incarnation Life() const { return { .id_ = id_, .born_ = born_ }; }
 };
 
-// Three rules carry it. Leaving is sticky: once an incarnation was listed as
-// leaving, or answered that it is not there any more, no later word makes it
-// usable. A younger incarnation of an id replaces an older one for good, so
-// that a late word of a former life neither takes the new one's requests away
-// nor brings the old one back. An entry that is missing is gone at once, except
-// after an outage of the store: entries then lapse though their endpoints live,
-// and each gets a while to come back. Not thread-safe.
+// Tracks listed endpoints by the following rules.
+//
+// - Leaving is final for an incarnation: once it was listed as leaving, or its
+//   address answered as another incarnation, no later update makes it usable
+//   again.
+// - A newer incarnation of an id replaces an older one permanently, so that a
+//   delayed update of the old incarnation neither removes the new one nor
+//   restores the old one.
+// - A removed entry is dropped at once. Entries that expired during an outage
+//   of the store may belong to live endpoints, so that after an outage removals
+//   take effect only after a grace period for listing the endpoints again.
+//
+// Not thread-safe.
 class EndpointDirectory
 {
 public:
   struct Options
   {
-    // Live endpoints are listed again within about 2 s of the store's return;
-    // the platform states that figure. A tenth more covers the watch's delay.
-    std::chrono::milliseconds relistWithin_{ 2'200 };
+    // Grace period for removed entries after the store returns. The platform
+    // states that live endpoints are listed again within about 2 s; 10% more
+    // covers the delay of the watch.
+    std::chrono::milliseconds relistGrace_{ 2'200 };
   };
 
   explicit EndpointDirectory(Options aOptions)
@@ -54,18 +63,18 @@
   {
   }
 
-  /// Takes in one new or changed entry.
-  /// @return whether the endpoint has started again under the id that it had
+  /// Adds or updates an entry.
+  /// @return whether the endpoint has restarted under the same id
   bool OnListed(const ListedEndpoint& aListed);
 
-  /// Notes that an entry was removed.
+  /// Handles the removal of an entry from the store.
   void OnRemoved(const std::string& aId, TimePoint aNow);
 
-  /// Notes since when the store answers again after it did not.
+  /// Starts the grace period: the store answers again after an outage.
   void OnStoreReturned(TimePoint aNow);
 
-  /// Notes that an address answered as another incarnation: the one looked for
-  /// is gone for good.
+  /// Marks the current incarnation of an id as gone, because its address
+  /// answered as another incarnation.
   void OnReplaced(const std::string& aId);
 
   /// Marks an availability zone as evacuated: its endpoints are not usable
@@ -75,37 +84,40 @@
   /// Makes the endpoints of an evacuated zone usable again.
   void OnEvacuationEnded(const std::string& aZone);
 
-  /// Drops entries whose time to come back has passed.
+  /// Drops entries whose grace period has ended.
   void Sweep(TimePoint aNow);
 
-  /// Gives the endpoints of a service that may get requests, by rising id.
+  /// Returns the endpoints of a service that may receive requests, ordered by
+  /// id.
   std::vector<const ListedEndpoint*> Usable(const std::string& aService) const;
 
-  /// Gives a number that rises with each change of what is usable.
+  /// Returns a counter that increases with each change of the set of usable
+  /// endpoints.
   std::uint64_t Changes() const { return changes_; }
 
-  /// Finds an endpoint, usable or not; null when it is not known.
+  /// Finds an endpoint, usable or not; returns null if it is not listed.
   const ListedEndpoint* Find(const std::string& aId) const;
 
 private:
   struct Entry
   {
     ListedEndpoint listed_;
-    std::optional<TimePoint> dropAt_; // set while it is missing
+    std::optional<TimePoint> removeAt_; // set while the removal is deferred
   };
 
-  void Drop(std::map<std::string, Entry>::iterator aEntry, TimePoint aNow);
+  void RemoveOrDefer(std::map<std::string, Entry>::iterator aEntry,
+                     TimePoint aNow);
 
   bool IsLeaving(const ListedEndpoint& aListed) const;
 
   Options options_;
   std::map<std::string, Entry> entries_;
-  // By id, a few bytes each: the youngest incarnation ever listed, and the
-  // youngest that is leaving or gone.
-  std::map<std::string, BirthTime> youngest_;
+  // Start times by id: of the newest incarnation ever listed, and of the newest
+  // one that is leaving or gone. Never erased; each takes a few bytes.
+  std::map<std::string, BirthTime> newestStart_;
   std::map<std::string, BirthTime> leaving_;
-  std::set<std::string> evacuated_; // availability zones
-  TimePoint relistUntil_{};
+  std::set<std::string> evacuatedZones_; // availability zones
+  TimePoint relistDeadline_{};
   std::uint64_t changes_ = 0;
 };
 
--- a/include/gooseberrylift/routing/gooseberrylift-endpoint-trust.h
+++ b/include/gooseberrylift/routing/gooseberrylift-endpoint-trust.h
@@ -1,7 +1,7 @@
-// Tells endpoints that serve from endpoints that fail. The load it answers:
-// endpoints that are listed and accept connections but break off, hang or
-// spoil a part of what they are given. Without it such an endpoint looks idle,
-// because it ends its requests early, and so gets more than its share.
+// Passive outlier detection. Detects endpoints that are listed and accept
+// connections but abort, hang or corrupt some of their requests. Such an
+// endpoint ends its requests early and looks idle, so that load balancing would
+// send it more than its share.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_TRUST_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_TRUST_H_
@@ -18,30 +18,31 @@
 enum class EndpointOutcome
 {
   kServed,
-  kFailed,      // its answer broke off, was spoilt, or said 5xx
-  kUnreachable, // no connection, or no sign of life for too long
-  kRefused,     // it proved that it did not run the request
+  kFailed,      // truncated or corrupt response, or status 5xx
+  kUnreachable, // connection failed, or no data within the time-out
+  kRefused,     // confirmed that it did not run the request
 };
 
-// Keeps a failing share for each endpoint, decayed by count, and sets an
-// endpoint aside for a while when it can't be reached or fails far more often
-// than its fellows. Not thread-safe.
+// Keeps an exponentially decayed failure share for each endpoint, and ejects an
+// endpoint for a limited time when it is unreachable or fails far more often
+// than the others. Not thread-safe.
 class EndpointTrust
 {
 public:
   struct Options
   {
-    // An endpoint that can't be reached is tried again after this, doubled with
-    // each further failure. Crashed endpoints are back after some seconds, and
-    // a request that finds one dead has lost a connect time-out.
-    std::chrono::milliseconds firstRest_{ 500 };
-    std::chrono::milliseconds longestRest_{ 4'000 };
-    // A failing share over this, and over thrice that of all endpoints, sets
-    // aside. With eight outcomes at weight 0.8 two failures in a row reach it.
-    double failingShare_ = 0.3;
-    double overOthers_ = 3.0;
-    double memory_ = 0.8; // what an old outcome weighs after each new one
-    std::chrono::milliseconds failingRest_{ 3'000 };
+    // Ejection time of an unreachable endpoint, doubled with each consecutive
+    // failure up to maxEjection_. Crashed endpoints restart within seconds, and
+    // each request that is sent to a dead one loses a connect time-out.
+    std::chrono::milliseconds initialEjection_{ 500 };
+    std::chrono::milliseconds maxEjection_{ 4'000 };
+    // An endpoint is ejected when its failure share exceeds failureThreshold_
+    // and also fleetFailureFactor_ times that of all endpoints. With a decay of
+    // 0.8, two consecutive failures among eight outcomes reach the threshold.
+    double failureThreshold_ = 0.3;
+    double fleetFailureFactor_ = 3.0;
+    double decay_ = 0.8; // weight of the previous share at each outcome
+    std::chrono::milliseconds failureEjection_{ 3'000 };
   };
 
   explicit EndpointTrust(Options aOptions)
@@ -49,32 +50,32 @@
   {
   }
 
-  /// Takes in how a request ended.
+  /// Records the outcome of a request.
   void OnOutcome(const std::string& aEndpoint,
                  EndpointOutcome aOutcome,
                  TimePoint aNow);
 
-  /// Says whether an endpoint is set aside now.
+  /// Returns whether an endpoint is ejected.
   bool IsSetAside(const std::string& aEndpoint, TimePoint aNow) const;
 
-  /// Forgets endpoints that were not heard of for a minute.
-  /// Forgets how an endpoint fared, which has started again.
+  /// Discards the record of an endpoint that has restarted.
   void OnReborn(const std::string& aEndpoint) { records_.erase(aEndpoint); }
 
+  /// Discards the records of endpoints that had no request for a minute.
   void Sweep(TimePoint aNow);
 
 private:
   struct Record
   {
-    double failing_ = 0;  // share of the latest outcomes
-    int unreachable_ = 0; // in a row
-    TimePoint restUntil_{};
-    TimePoint last_{};
+    double failureShare_ = 0; // decayed share of failed requests
+    int consecutiveUnreachable_ = 0;
+    TimePoint ejectedUntil_{};
+    TimePoint lastOutcome_{};
   };
 
   Options options_;
   std::map<std::string, Record> records_;
-  double failingOfAll_ = 0;
+  double fleetFailureShare_ = 0;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/routing/gooseberrylift-engine-figures.h
+++ b/include/gooseberrylift/routing/gooseberrylift-engine-figures.h
@@ -1,8 +1,8 @@
-// What an operator declares of the engines of a service, and the times that
-// follow from it. The load it answers: prompts from a thousand to a million
-// tokens on engines that read in pieces between the tokens of other requests.
-// Without it a request counts as one, and a prompt that is read for seconds
-// looks like one that is read in twenty milliseconds.
+// Declared performance of the engines of a service, and the prefill and
+// decoding times derived from it. Prompts range from a thousand to a million
+// tokens, and engines interleave chunks of prefill with the decoding of other
+// requests. Counting requests alone would treat a prompt that takes seconds to
+// prefill like one that takes 20 ms.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENGINE_FIGURES_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENGINE_FIGURES_H_
@@ -12,32 +12,33 @@
 
 namespace gooseberrylift {
 
-// One engine works in passes. A pass that has writers runs stride_ steps, each
-// of which gives every writer a token; prompts are read inside the passes.
+// An engine works in passes. A pass with decoding requests runs stride_ steps,
+// each of which generates one token for every decoding request; prompts are
+// prefilled within passes.
 struct EngineFigures
 {
-  int slots_ = 1;                       // requests that run at once
-  std::uint64_t memoryTokens_ = 0;      // 0 when it is not declared
-  double stepMs_ = 0;                   // of a step with nothing to write
-  double stepPerSequenceMs_ = 0;        // more for each request that writes
-  double stepPerThousandMs_ = 0;        // more for each 1,000 tokens of context
-  double readTokensPerMs_ = 1;          // prompt tokens
-  double readPerMillionPairsMs_ = 0;    // pairs of a token and an earlier one
-  std::uint64_t readTokensPerStep_ = 0; // at most; 0 is unlimited
-  int stride_ = 1;                      // steps of a pass that has writers
-  double hopMs_ = 0; // more for each step of a request on several engines
+  int slots_ = 1;                    // concurrent requests
+  std::uint64_t memoryTokens_ = 0;   // KV cache capacity; 0: not declared
+  double stepMs_ = 0;                // base time of a decoding step
+  double stepPerSequenceMs_ = 0;     // added for each decoding request
+  double stepPerThousandMs_ = 0;     // added for each 1,000 tokens of context
+  double readTokensPerMs_ = 1;       // linear part of prefill
+  double readPerMillionPairsMs_ = 0; // quadratic: token and an earlier one
+  std::uint64_t readTokensPerStep_ = 0; // chunk size; 0: unlimited
+  int stride_ = 1;   // steps of a pass with decoding requests
+  double hopMs_ = 0; // added to each step of a multi-engine request
   std::uint64_t usualAnswerTokens_ = 0;
 
-  /// Gives the time to read a prompt, spread evenly over some engines.
-  /// @param aTokens the prompt's length
-  /// @param aEngines how many read it together, at least 1
+  /// Returns the prefill time of a prompt that is split evenly between engines.
+  /// @param aTokens prompt length
+  /// @param aEngines number of engines that share the prefill, at least 1
   std::chrono::microseconds ReadTime(std::uint64_t aTokens,
                                      int aEngines = 1) const;
 
-  /// Gives the time of one pass.
-  /// @param aWriters requests that write, at most the engine's slots
-  /// @param aContextTokens tokens of context of all writers together
-  std::chrono::microseconds PassTime(int aWriters,
+  /// Returns the duration of one pass without prefill.
+  /// @param aDecoding number of decoding requests, at most slots_
+  /// @param aContextTokens total context length of the decoding requests
+  std::chrono::microseconds PassTime(int aDecoding,
                                      std::uint64_t aContextTokens) const;
 };
 
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
@@ -1,7 +1,7 @@
-// What is in work at each endpoint, from this host's own sends and its peers'
-// word. The load it answers: many hosts before the same endpoints. With only
-// its own sends in view each host takes the endpoints that it does not use
-// itself for idle, and all of them place the next long prompt on the same one.
+// Load of each endpoint, combined from this host's own requests and the load
+// messages of its peers. Many hosts share the same endpoints: a host that
+// counted only its own requests would take the endpoints that it does not use
+// for idle, and all hosts would place the next long prompt on the same one.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_LOAD_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_LOAD_H_
@@ -21,48 +21,50 @@
 
 namespace gooseberrylift {
 
-// What one request adds to the load of an endpoint.
+// Load that one request adds to an endpoint.
 struct RequestCost
 {
-  std::uint64_t memoryTokens_ = 0;      // prompt and answer
-  std::chrono::microseconds read_{ 0 }; // until its first token
-  bool tight_ = false;    // bears only the shortest gaps of the service
-  bool helping_ = false;  // only reads and holds a part; it takes no slot
-  bool deferred_ = false; // lets all others at its engine go first
+  std::uint64_t memoryTokens_ = 0;      // KV cache for prompt and answer
+  std::chrono::microseconds read_{ 0 }; // prefill time
+  bool tight_ = false;    // has the service's shortest inter-event gap limit
+  bool isHelper_ = false; // prefills and stores a part only; occupies no slot
+  bool deferred_ = false; // yields to all other requests at its engine
 };
 
-// What one host has in work at one endpoint.
+// Load that one host has placed on one endpoint.
 struct EndpointShare
 {
   std::string id_;
-  int running_ = 0; // requests that hold or wait for a slot
-  int tight_ = 0;   // of these, that bear only the shortest gaps
+  int running_ = 0; // requests that occupy or wait for a slot
+  int tight_ = 0;   // of these, with the shortest gap limit
   std::uint64_t memoryTokens_ = 0;
-  std::chrono::microseconds backlog_{ 0 }; // still to be read
-  int deferred_ = 0; // of the running, that wait and let all others go first
-  std::chrono::milliseconds silent_{ 0 }; // since it last heard of it
+  std::chrono::microseconds backlog_{ 0 }; // outstanding prefill
+  int deferred_ = 0; // of running_, queued behind all others
+  // Since the host last received data from it.
+  std::chrono::milliseconds silent_{ 0 };
 };
 
-// What all known hosts have in work at one endpoint.
+// Load that all known hosts together have placed on one endpoint.
 struct EndpointLoad
 {
   int running_ = 0;
   int tight_ = 0;
   std::uint64_t memoryTokens_ = 0;
   std::chrono::microseconds backlog_{ 0 };
-  int deferred_ = 0; // of the running, that wait and let all others go first
+  int deferred_ = 0; // of running_, queued behind all others
 };
 
-// Not thread-safe.
+// Tracks the load of all endpoints as far as this host knows it. Not
+// thread-safe.
 class FleetLoad
 {
 public:
   struct Options
   {
-    // A peer's word is dropped when none newer came for so long: its host is
-    // gone or cut off, and what it had in work has mostly ended. Ten times the
-    // usual pause between two words.
-    std::chrono::milliseconds forgetPeer_{ 2'000 };
+    // Time without a newer message after which the load of a peer is ignored:
+    // the peer is down or disconnected, and most of its requests have ended.
+    // Ten times the usual interval between messages.
+    std::chrono::milliseconds peerTimeout_{ 2'000 };
   };
 
   explicit FleetLoad(Options aOptions)
@@ -70,116 +72,116 @@
   {
   }
 
-  /// Notes that a request was sent to an endpoint.
+  /// Records that a request was sent to an endpoint.
   void OnSent(const std::string& aEndpoint,
               std::uint64_t aRequest,
               const RequestCost& aCost,
               TimePoint aNow);
 
-  /// Notes that a request's prompt was read: its first token came.
+  /// Records that the first token of a request arrived: its prefill is
+  /// complete.
   void OnStarted(const std::string& aEndpoint,
                  std::uint64_t aRequest,
                  TimePoint aNow);
 
-  /// Notes that a request ended at an endpoint, or was taken from it: that is
-  /// no sign of life.
+  /// Records that a request ended at an endpoint or was withdrawn from it. Does
+  /// not count as received data.
   void OnEnded(const std::string& aEndpoint, std::uint64_t aRequest);
 
-  /// Forgets all that was in work at an endpoint, which has started again and
-  /// knows nothing of it.
+  /// Discards the load of an endpoint that has restarted and lost its requests.
   void OnReborn(const std::string& aEndpoint);
 
-  /// Takes in all that a peer has in work.
-  /// @param aAt when the peer said so, on this host's clock
+  /// Replaces the load of a peer by a snapshot.
+  /// @param aAt time of the message, on this host's clock
   void OnPeer(const std::string& aHost,
               std::vector<EndpointShare> aShares,
               TimePoint aAt);
 
-  /// Takes in more of the word that a peer gave last.
+  /// Adds a further part of the peer's latest snapshot.
   void OnMoreOfPeer(const std::string& aHost,
                     std::vector<EndpointShare> aShares);
 
-  /// Takes in what has changed at some endpoints since a peer's last word.
-  /// @param aAt when the peer said so, on this host's clock
+  /// Applies a delta: the endpoints whose load has changed.
+  /// @param aAt time of the message, on this host's clock
   void OnChangeOfPeer(const std::string& aHost,
                       std::vector<EndpointShare> aShares,
                       TimePoint aAt);
 
-  /// Gives the load of an endpoint as far as it is known.
+  /// Returns the known load of an endpoint.
   EndpointLoad Of(const std::string& aEndpoint, TimePoint aNow) const;
 
-  /// Gives this host's own part, for its peers.
+  /// Returns this host's own load, for messages to its peers.
   std::vector<EndpointShare> OwnShares(TimePoint aNow) const;
 
-  /// Sums by endpoint what this host and some of its peers have in work.
-  /// @param aCounts says of a peer whether it belongs to the sum
+  /// Sums the load of this host and of selected peers by endpoint.
+  /// @param aIncludes returns whether a peer is part of the sum
   std::vector<EndpointShare> Sum(
-    const std::function<bool(const std::string& aHost)>& aCounts,
+    const std::function<bool(const std::string& aHost)>& aIncludes,
     TimePoint aNow) const;
 
-  /// Gives this host's own part at one endpoint.
+  /// Returns this host's own load at one endpoint.
   EndpointShare OwnShare(const std::string& aEndpoint, TimePoint aNow) const;
 
-  /// Gives since when this host waits for an endpoint that sent nothing to any
-  /// of its requests; zero when it waits for none.
+  /// Returns for how long an endpoint has sent nothing while this host has
+  /// requests there; zero if it has none.
   std::chrono::milliseconds SilentFor(const std::string& aEndpoint,
                                       TimePoint aNow) const;
 
-  /// Says whether an endpoint began to answer a request of this host that was
-  /// sent to it after this one, and had no right to go first.
+  /// Returns whether an endpoint began to answer a request that this host sent
+  /// later than the given one, and that had no precedence over it.
   bool IsOvertaken(const std::string& aEndpoint, std::uint64_t aRequest) const;
 
-  /// Gives since when no host has heard of an endpoint for which it waits, by
-  /// the peers' words; nothing when no peer waits for it.
+  /// Returns the shortest time without data from an endpoint that any peer with
+  /// requests there reports; nothing if no peer has requests there.
   std::optional<std::chrono::milliseconds> SilentToPeersFor(
     const std::string& aEndpoint,
     TimePoint aNow) const;
 
-  /// Notes that an endpoint sent something.
+  /// Records that an endpoint sent data.
   void OnHeard(const std::string& aEndpoint, TimePoint aNow);
 
 private:
-  struct Sent
+  struct SentRequest
   {
     RequestCost cost_;
     TimePoint at_;
     bool started_ = false;
   };
-  struct Own
+  struct LocalLoad
   {
-    std::map<std::uint64_t, Sent> requests_;
-    TimePoint heard_{}; // the last sign of life, or when the wait began
-    // When the latest was sent of those that were begun, by whether they were
-    // deferred.
-    std::array<TimePoint, 2> latestBegun_{};
+    std::map<std::uint64_t, SentRequest> requests_;
+    TimePoint lastHeard_{}; // last data received, or start of the wait
+    // Send time of the latest request that was answered; index 1 is for
+    // deferred requests, 0 for all others.
+    std::array<TimePoint, 2> latestStarted_{};
   };
   struct Peer
   {
-    TimePoint at_{}; // of its last word
+    TimePoint at_{}; // of its latest message
     std::set<std::string> endpoints_;
   };
   struct PeerShare
   {
     EndpointShare share_;
-    TimePoint at_{};
-    const Peer* peer_ = nullptr; // in peers_, where none is ever erased
+    TimePoint at_{};             // of the message that contained it
+    const Peer* peer_ = nullptr; // in peers_, from which nothing is erased
   };
-  // By host. Kept by endpoint, since each placement sums over the few hosts
-  // that have something in work there, not over all hosts for each endpoint.
+  // By host. Grouped by endpoint, because each placement sums over the few
+  // hosts that have load there rather than over all hosts for each endpoint.
   using PeerShares = std::map<std::string, PeerShare>;
 
-  void Put(const std::string& aHost,
-           std::vector<EndpointShare> aShares,
-           TimePoint aAt);
-  bool Counts(const PeerShare& aSaid, TimePoint aNow) const;
+  void StorePeerShares(const std::string& aHost,
+                       std::vector<EndpointShare> aShares,
+                       TimePoint aAt);
+  bool IsCurrent(const PeerShare& aReported, TimePoint aNow) const;
 
   static EndpointShare ShareOf(const std::string& aId,
-                               const Own& aOwn,
+                               const LocalLoad& aOwn,
                                TimePoint aNow);
 
   Options options_;
-  // By endpoint; each placement looks all of them up.
-  std::unordered_map<std::string, Own> own_;
+  // By endpoint. Hash maps, because each placement looks up every endpoint.
+  std::unordered_map<std::string, LocalLoad> local_;
   std::unordered_map<std::string, PeerShares> shares_;
   std::map<std::string, Peer> peers_; // by host
 };
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-order.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-order.h
@@ -1,6 +1,6 @@
-// The order in which a host looks at the engines of a service. The load it
-// answers: hosts that fill the same engines and hear of each other's requests
-// a moment late.
+// Order in which a host considers the engines of a service. It keeps hosts that
+// receive each other's load messages with a delay from filling the same
+// engines.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_ORDER_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_ORDER_H_
@@ -15,24 +15,25 @@
 
 struct FleetOrderOptions
 {
-  // Engines in a block. All hosts stand them in the same blocks; inside one
-  // each host has an order of its own, so that two hosts seldom take the same
-  // engine until they have heard of each other. With larger ones a host's
-  // long prompts meet the short requests of others in the blocks where the
-  // two lanes join.
+  // Number of engines in a block. All hosts divide the engines into the same
+  // blocks but order each block differently, so that two hosts rarely choose
+  // the same engine before they have received each other's load. With larger
+  // blocks, long prompts of one host meet short requests of others in the
+  // blocks where the two lanes join.
   std::size_t block_ = 3;
 };
 
-/// Puts engines in a host's order.
+/// Returns endpoints in the order of a host.
 /// @param aEndpoints in any order
-/// @param aHost the host's name
+/// @param aHost name of the host
 std::vector<ListedEndpoint> OrderForHost(std::vector<ListedEndpoint> aEndpoints,
                                          const std::string& aHost,
                                          FleetOrderOptions aOptions);
 
-/// Puts endpoints in an order that is new for each draw.
+/// Returns endpoints in a pseudo-random order.
+/// @param aRandom seed of the order
 std::vector<ListedEndpoint> OrderByDraw(std::vector<ListedEndpoint> aEndpoints,
-                                        std::uint64_t aDraw);
+                                        std::uint64_t aRandom);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
@@ -1,5 +1,5 @@
-// Decides which endpoint, or which engines together, a request goes to, and
-// what its caller may expect there.
+// Selects the endpoint, or the group of engines, for a request, and predicts
+// the time until its first response.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_PLACEMENT_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_PLACEMENT_H_
@@ -17,119 +17,126 @@
 
 namespace gooseberrylift {
 
-// An endpoint that a request might go to.
+// An endpoint that a request may be sent to.
 struct PlacementCandidate
 {
   const ListedEndpoint* endpoint_ = nullptr;
   EndpointLoad load_;
-  bool setAside_ = false; // failing or silent: only when there is no other
-  bool tried_ = false;    // by this request, in vain
-  bool limited_ = false;  // it takes few requests from all hosts together
+  bool setAside_ = false; // failing or silent: used only as a last resort
+  bool tried_ = false;    // has failed an attempt of this request
+  bool limited_ = false;  // has a request rate limit shared by all hosts
 };
 
-// What placement needs to know of a request.
+// Properties of a request that determine its placement.
 struct PlacementRequest
 {
   std::uint64_t promptTokens_ = 0;
-  std::uint64_t answerTokens_ = 0; // at most
+  std::uint64_t answerTokens_ = 0; // upper bound
   std::chrono::milliseconds objective_{ 1'000 };
   std::chrono::milliseconds maxGap_{ 0 };
-  std::string zone_;       // of this host
-  bool blind_ = false;     // nothing is known of what other hosts have in work
+  std::string zone_;       // zone of this host
+  bool blind_ = false;     // the load of other hosts is unknown
   std::uint64_t draw_ = 0; // a random number
 };
 
-// Where a request goes.
+// The chosen endpoints of a request, with predictions and costs.
 struct PlacementChoice
 {
   const ListedEndpoint* endpoint_ = nullptr;
-  std::vector<const ListedEndpoint*> helpers_; // that read parts of the prompt
-  // What each helper sets aside for its part of the prompt; 0: all of it lies
-  // at the endpoint.
+  std::vector<const ListedEndpoint*> helpers_; // prefill parts of the prompt
+  // KV cache that each helper reserves for its part of the prompt, in tokens; 0
+  // if the whole prompt is stored at the endpoint.
   std::uint64_t heldTokens_ = 0;
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted, from now
-  bool long_ = false; // its read disturbs those that write beside it
-  // It is late wherever it goes, so it lets those go first that are not.
+  bool long_ = false; // its prefill delays requests that decode beside it
+  // Predicted to miss its objective at every engine; it yields to requests that
+  // can still meet theirs.
   bool deferred_ = false;
-  // At its engines, before its read; of a long prompt, with the harm that it
-  // would do to others there.
+  // Predicted wait at its engines before prefill. For a long prompt, includes a
+  // part of the delay penalty for other requests there.
   std::chrono::microseconds wait_{ 0 };
-  RequestCost cost_;       // at the endpoint
+  RequestCost cost_;       // at endpoint_
   RequestCost helperCost_; // at each helper
 };
 
-// Engines. The load it answers: many short prompts whose callers bear only
-// short gaps, and few prompts that are read for seconds, on the same engines.
-// A read stretches the pass it falls into, for a second and more with the
-// longest prompts, and so the gap of every request that writes there; spread
-// evenly, each long prompt makes late what a dozen
-// short requests write. So short requests fill engines in one order that all
-// hosts share, and long ones take engines from the other end of that order;
-// where the two meet follows the load. A long prompt is read by as many
-// engines as its objective needs. Not thread-safe, holds no state.
+// Placement on inference engines, for workloads of many short prompts with
+// tight inter-event gap limits and few prompts whose prefill takes seconds, on
+// the same engines. A prefill lengthens the pass that it falls into, by more
+// than a second for the longest prompts, and with it the gap of every request
+// that decodes there. If long prompts were spread evenly, each would make about
+// a dozen short requests late.
+//
+// Short requests therefore fill engines in one order that all hosts share, and
+// long prompts take engines from the other end of that order; the boundary
+// between the two lanes follows the load. A long prompt is prefilled by as many
+// engines as its objective requires. Stateless, but not thread-safe.
 class EnginePlacement
 {
 public:
   struct Options
   {
-    // A read longer than this part of the shortest gap that callers bear is
-    // kept away from requests that bear only that. The rest of the gap is the
-    // pass's own steps and a second short read.
+    // A prompt is long if its prefill takes more than this share of the
+    // service's shortest gap limit; long prompts are kept away from requests
+    // with that limit. The rest of the gap is for the steps of the pass and for
+    // a second short prefill.
     double longRead_ = 0.6;
-    // Short requests fill an engine up to this part of its slots before they
-    // take the next one: a batch of ten costs a step 1.2 times as much as one
-    // of two, so filling is nearly free, and the rest of the slots is for what
-    // other hosts sent in the moment that their word takes.
+    // Share of an engine's slots that short requests fill before they take the
+    // next engine. A step with a batch of ten takes 1.2 times as long as one
+    // with a batch of two, so filling costs little. The other slots are for
+    // requests of other hosts whose load messages are still on their way.
     double comfortable_ = 0.9;
-    // A read is spread over more engines until it is predicted to take this
-    // part of the objective: in effect over as many as shorten it.
+    // A prefill is spread over more engines until it is predicted to take this
+    // share of the objective: in effect over as many as shorten it.
     double readShare_ = 0.05;
-    // That read one prompt together: as many as an engine takes helpers.
+    // Maximum number of engines that prefill one prompt together: as many
+    // helpers as an engine accepts.
     int mostEngines_ = 16;
-    // An engine's memory that a prompt may count on; the rest is for answers
-    // of other hosts' requests that are not known yet.
-    double memoryShare_ = 0.9;
-    // What a short request that is made late weighs, in time to the first
-    // answer of the one to be placed.
+    // Share of an engine's KV cache that a prompt may count on. The rest is for
+    // answers of other hosts' requests that are not known yet.
+    double usableMemoryShare_ = 0.9;
+    // Penalty for making a request with the shortest gap limit late, as
+    // equivalent time to the first answer of the request to be placed.
     std::chrono::milliseconds harm_{ 160 };
-    // The same for one that bears longer gaps; there are fewer of them, and
-    // they are worth as much as what is placed.
+    // The same for a request with a longer gap limit. There are fewer of these,
+    // and each is worth as much as the request to be placed.
     std::chrono::milliseconds harmOther_{ 1'000 };
-    // What missing its objective weighs for a long request, in the same time;
-    // it counts as missed from this part of it on.
+    // Penalty for a long request that misses its objective, in the same unit.
+    // It counts as missed from usefulShare_ of the objective on.
     std::chrono::milliseconds missed_{ 4'000 };
     double usefulShare_ = 0.8;
-    // Of a short request's objective, the wait before its own read with which
-    // an engine is still taken in order.
+    // Share of a short request's objective that it may wait before its prefill
+    // and still take the first engine in order.
     double waitShare_ = 0.3;
-    // Of a short request's objective, by how much an engine may be predicted to
-    // answer later than the best one and still be drawn in place of it. Hosts
-    // that hear of each other's requests a moment late all see the same best
-    // one, and without the draw hundreds of them would take it together.
+    // Share of a short request's objective by which the predicted first answer
+    // of an engine may be later than that of the best one and still count as a
+    // tie, broken at random. Hosts that receive load messages with a delay all
+    // see the same best engine; without the random choice, hundreds of them
+    // would select it together.
     double alikeShare_ = 0.2;
-    // Of a short request's objective, the predicted first answer up to which it
-    // counts as in time. The rest is for what predictions are off by.
+    // Share of a short request's objective up to which a predicted first answer
+    // counts as in time. The rest is a margin for prediction errors.
     double inTimeShare_ = 0.9;
-    // The part of the harm that a long prompt would do to others which counts
-    // as a wait, so that it is held while the engines are full of short
-    // requests. All of it would hold prompts that only stretch a gap or two.
+    // Share of a long prompt's delay penalty that counts as wait, so that the
+    // prompt is held back while the engines are full of short requests. The
+    // whole penalty would hold back prompts that lengthen only a gap or two.
     double heldHarm_ = 0.15;
-    // Requests for which the short lane has room beside those at work. None:
-    // hosts hear of each other's requests within some 20 ms.
+    // Number of requests that the short lane has room for beyond its current
+    // load. None by default, because hosts receive each other's load within
+    // about 20 ms.
     double laneSpare_ = 0;
-    // The short lane of a host that knows nothing of the others: the part of
-    // the engines over which it spreads short requests evenly. The rest is for
-    // the long prompts, which come back after a power cut all at once as well.
-    double blindLane_ = 0.5;
-    // The part of the engines that the short lane never takes.
+    // Share of the engines that forms the short lane while the load of other
+    // hosts is unknown; short requests are spread evenly over it. The rest is
+    // for long prompts, which also return all at once after a power failure.
+    double unknownLoadLaneShare_ = 0.5;
+    // Share of the engines that the short lane never takes.
     double keptForLong_ = 0.1;
-    // The part of the spare engines that is added to the short lane. Keeps
-    // hosts with delayed load data from all choosing the same few engines while
-    // most are idle.
+    // Share of the spare engines that is added to the short lane, so that hosts
+    // with delayed load data do not all choose the same few engines while most
+    // are idle.
     double spareForShort_ = 0.5;
-    // Engines count as spare beyond this multiple of what both kinds need now,
+    // Engines count as spare beyond this multiple of what both lanes need now,
     // with at least one long prompt counted. The margin covers load swings and
-    // load data from other hosts that is some hundred ms old.
+    // load data from other hosts that is some hundred milliseconds old.
     double spareBeyond_ = 4;
   };
 
@@ -138,70 +145,73 @@
   {
   }
 
-  /// Chooses engines for a request.
-  /// @param aFigures the service's engines
-  /// @param aGaps that the service's callers bear
-  /// @param aCandidates the usable engines in the order that all hosts share
-  /// @return the choice; nothing when no engine can run the request
+  /// Selects the engines for a request.
+  /// @param aProfile performance of the service's engines
+  /// @param aGaps shortest gap limits of the service
+  /// @param aCandidates usable engines, in the order that all hosts share
+  /// @return the choice; nothing if no engine can run the request
   std::optional<PlacementChoice> Choose(
-    const EngineFigures& aFigures,
+    const EngineFigures& aProfile,
     const ServiceGaps& aGaps,
     const std::vector<PlacementCandidate>& aCandidates,
     const PlacementRequest& aRequest) const;
 
-  /// Predicts the time until an engine begins with a new request.
-  /// @param aAhead of the requests there, those that are before it
-  static std::chrono::microseconds WaitAt(const EngineFigures& aFigures,
-                                          const EndpointLoad& aLoad,
-                                          int aAhead);
+  /// Predicts the time until an engine starts a new request.
+  /// @param aQueuedAhead number of requests there that precede it
+  static std::chrono::microseconds PredictWait(const EngineFigures& aProfile,
+                                               const EndpointLoad& aLoad,
+                                               int aQueuedAhead);
 
 private:
   struct Task;
 
-  struct Lanes;
-  Lanes LanesOf(
+  struct LaneSplit;
+  LaneSplit SplitLanes(
     const Task& aTask,
     const std::vector<const PlacementCandidate*>& aCandidates) const;
   std::optional<PlacementChoice> ChooseShort(
     const Task& aTask,
     const std::vector<const PlacementCandidate*>& aCandidates,
-    std::size_t aLane) const;
+    std::size_t aLaneSize) const;
   std::optional<PlacementChoice> ChooseLong(
     const Task& aTask,
     const std::vector<const PlacementCandidate*>& aCandidates,
-    const Lanes& aLanes,
-    std::size_t aMostEngines) const;
-  struct Fit;
-  struct Ranked;
-  std::vector<Ranked> BestReaders(const Task& aTask,
-                                  const std::vector<Ranked>& aEngines,
-                                  std::size_t aHolders,
-                                  std::size_t aReaders) const;
-  void PreferWriter(const Task& aTask,
-                    const std::vector<const PlacementCandidate*>& aCandidates,
-                    std::chrono::microseconds aPart,
-                    std::vector<Ranked>& aChosen) const;
+    const LaneSplit& aLanes,
+    std::size_t aMaxEngines) const;
+  struct ShortCandidate;
+  struct RankedEngine;
+  std::vector<RankedEngine> SelectPrefillEngines(
+    const Task& aTask,
+    const std::vector<RankedEngine>& aEngines,
+    std::size_t aStoringEngines,
+    std::size_t aPrefillEngines) const;
+  void PreferDecodingEngine(
+    const Task& aTask,
+    const std::vector<const PlacementCandidate*>& aCandidates,
+    std::chrono::microseconds aPart,
+    std::vector<RankedEngine>& aChosen) const;
   bool HasMemory(const Task& aTask,
                  const EndpointLoad& aLoad,
                  std::size_t aEngines) const;
-  std::chrono::microseconds HarmAt(const Task& aTask,
-                                   const EndpointLoad& aLoad,
-                                   std::chrono::microseconds aRead) const;
+  std::chrono::microseconds DelayPenalty(
+    const Task& aTask,
+    const EndpointLoad& aLoad,
+    std::chrono::microseconds aPrefill) const;
 
   Options options_;
 };
 
-// Plain services: the endpoint with the fewest requests for its slots; of
-// equals the one in this host's zone, which saves its caller the way there and
-// back. Not thread-safe.
+// Placement on plain services: selects the endpoint with the fewest requests
+// per slot, and among equals one in this host's zone, which saves a round trip
+// to another zone. Not thread-safe.
 class ServicePlacement
 {
 public:
-  /// Chooses an endpoint.
-  /// @param aUsual the usual time of a request of the service
-  /// @param aCandidates the usable endpoints, in an order of this host's own
+  /// Selects an endpoint.
+  /// @param aTypicalTime typical duration of a request to the service
+  /// @param aCandidates usable endpoints, in an order specific to this host
   std::optional<PlacementChoice> Choose(
-    std::chrono::microseconds aUsual,
+    std::chrono::microseconds aTypicalTime,
     const std::vector<PlacementCandidate>& aCandidates,
     const PlacementRequest& aRequest) const;
 };
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-view.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-view.h
@@ -1,7 +1,7 @@
-// Tells whether this host sees what the others have in work. The load it
-// answers: all hosts start at once, after a power cut for example, and their
-// callers are there before the hosts have found each other. Each takes itself
-// for alone then, and all of them fill the same few engines.
+// Determines whether this host knows the load of its peers. When all hosts
+// start together, for example after a power failure, requests arrive before the
+// hosts have discovered each other. If each assumed that it is the only one,
+// all of them would fill the same few engines.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_VIEW_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_VIEW_H_
@@ -19,12 +19,13 @@
 public:
   struct Options
   {
-    // For so long after its start a host expects others, though it knows of
-    // none: it reads their list from the store and asks them within a second.
-    std::chrono::milliseconds expectsPeers_{ 1'000 };
-    // A host that heard no word of any peer for so long knows nothing of what
-    // they have in work; as long as the words of one peer count.
-    std::chrono::milliseconds forgetPeer_{ 2'000 };
+    // Time after the start for which a host assumes that peers exist, even if
+    // it knows of none: within a second it has read the list of hosts from the
+    // store and contacted them.
+    std::chrono::milliseconds peerDiscovery_{ 1'000 };
+    // Time without a message of any peer after which the load of the peers is
+    // unknown; the same as FleetLoad::Options::peerTimeout_.
+    std::chrono::milliseconds peerTimeout_{ 2'000 };
   };
 
   FleetView(Options aOptions, TimePoint aStarted)
@@ -33,20 +34,20 @@
   {
   }
 
-  /// Notes how many other hosts there are.
-  void OnPeersKnown(std::size_t aPeers) { peers_ = aPeers; }
+  /// Sets the number of other hosts.
+  void OnPeersKnown(std::size_t aPeers) { peerCount_ = aPeers; }
 
-  /// Notes a word of a peer about what it has in work.
-  void OnWord(TimePoint aNow) { heard_ = aNow; }
+  /// Records the arrival of a peer's load message.
+  void OnWord(TimePoint aNow) { lastMessage_ = aNow; }
 
-  /// Says whether there are others, or may be, of which nothing is known.
+  /// Returns whether peers exist or may exist whose load is unknown.
   bool IsBlind(TimePoint aNow) const;
 
 private:
   Options options_;
   TimePoint started_;
-  TimePoint heard_{};
-  std::size_t peers_ = 0;
+  TimePoint lastMessage_{};
+  std::size_t peerCount_ = 0;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/routing/gooseberrylift-route-table.h
+++ b/include/gooseberrylift/routing/gooseberrylift-route-table.h
@@ -1,5 +1,5 @@
-// Routes: which service answers a request, chosen by its host and path, and
-// what the operator promises and allows for it.
+// Routing of requests to services by host and path, and the limits and
+// objectives that the operator sets for each route.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ROUTE_TABLE_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ROUTE_TABLE_H_
@@ -18,22 +18,22 @@
 
 namespace gooseberrylift {
 
-// What may be repeated.
+// Whether the requests of a route may be repeated.
 enum class RouteKind
 {
   kSafe,      // idempotent: may run more than once
   kUnsafe,    // runs at most once
-  kStreaming, // an event stream; idempotent only where it may be resumed
+  kStreaming, // an event stream; idempotent only if it is resumable
 };
 
-/// Gives the kind's name as logs and metrics show it.
+/// Returns the name of a kind in logs and metrics.
 std::string_view NameOf(RouteKind aKind);
 
-// A service that takes a share of a route's requests.
+// A service that receives a share of a route's requests.
 struct RouteTarget
 {
   std::string service_;
-  int weight_ = 1; // against the route's other targets
+  int weight_ = 1; // relative to the route's other targets
 };
 
 struct Route
@@ -42,16 +42,16 @@
   std::string host_;
   std::string pathPrefix_; // begins and ends with a slash
   RouteKind kind_ = RouteKind::kSafe;
-  bool resumable_ = false; // kStreaming: goes on at another engine by event id
+  bool resumable_ = false; // kStreaming: can continue elsewhere by event id
   bool public_ = false;    // needs no team key
   int priority_ = 0;       // 0 is the most urgent
-  int maxAttempts_ = 1;    // endpoints that one request may be sent to
+  int maxAttempts_ = 1;    // maximum number of endpoints tried per request
   std::chrono::milliseconds timeout_{ 60'000 };
   std::chrono::milliseconds objective_{ 1'000 }; // to answer or first event
   std::chrono::milliseconds maxGap_{ 0 };        // kStreaming: between events
   std::vector<RouteTarget> targets_;
 
-  /// Says whether a request may run more than once.
+  /// Returns whether a request may run more than once.
   bool IsRepeatable() const
   {
     return kind_ == RouteKind::kSafe ||
@@ -63,11 +63,11 @@
 {
   std::string name_;
   std::string healthPath_;
-  int maxConnections_ = 0; // an endpoint's, over all its callers; 0: not said
+  int maxConnections_ = 0; // per endpoint, over all callers; 0: not declared
   std::optional<EngineFigures> engine_; // none for a plain service
 };
 
-// Bounds on what a caller sends, and for how long.
+// Limits on the size and duration of what a caller sends.
 struct CallerLimits
 {
   std::uint32_t maxHeaderBytes_ = 16 * 1024;
@@ -80,29 +80,30 @@
 {
   std::string name_;
   std::vector<std::string> keys_;
-  std::optional<int> priority_; // goes before a route's
+  std::optional<int> priority_; // overrides the route's
 };
 
-// A whole set of routes, as an operator wrote it.
+// A complete routing configuration, as written by an operator.
 struct RouteDocument
 {
   std::uint64_t version_ = 0;
   std::vector<Route> routes_;
   std::vector<RoutedService> services_;
   CallerLimits limits_;
-  // None when callers need no keys; an empty list lets nobody in.
+  // Absent if callers need no keys; an empty list rejects every caller.
   std::optional<std::vector<RoutedTeam>> teams_;
 };
 
-// The gaps between events that the callers of a service bear.
+// The two shortest limits on gaps between events among the routes of a service;
+// equal if there is only one limit.
 struct ServiceGaps
 {
   std::chrono::milliseconds shortest_{ 200 };
-  std::chrono::milliseconds next_{ 200 }; // the shortest of all others
+  std::chrono::milliseconds next_{ 200 }; // the next longer limit
 };
 
-// A route document made ready for look-ups. It never changes, so a request
-// keeps the table that it began with.
+// A route document with indexes for look-up. Immutable, so that a request can
+// use one table for its whole duration.
 class RouteTable
 {
 public:
@@ -120,37 +121,37 @@
     return document_.services_;
   }
 
-  /// Says whether requests on routes that are not public need a team key.
+  /// Returns whether requests on routes that are not public need a team key.
   bool NeedsKeys() const { return document_.teams_.has_value(); }
 
-  /// Finds the route of a host whose prefix is the longest that begins a path.
-  /// @param aHost the request's host, with or without a port
-  /// @param aPath the request's path, without its query
-  /// @return the route; null when none matches
+  /// Finds the route of a host with the longest prefix that matches a path.
+  /// @param aHost host of the request, with or without a port
+  /// @param aPath path of the request, without the query
+  /// @return the route; null if none matches
   const Route* Match(std::string_view aHost, std::string_view aPath) const;
 
-  /// Finds the team that holds a key; null when there is none.
+  /// Finds the team that a key belongs to; returns null if there is none.
   const RoutedTeam* TeamByKey(std::string_view aKey) const;
 
-  /// Finds a service by name; null when there is none.
+  /// Finds a service by name; returns null if there is none.
   const RoutedService* ServiceByName(std::string_view aName) const;
 
-  /// Chooses one of a route's services by weight.
+  /// Selects one of a route's services at random, by weight.
   /// @param aRoute a route with at least one target
-  /// @param aDraw a random number, of which each value is as likely
+  /// @param aRandom a uniformly distributed random number
   static const std::string& ChooseService(const Route& aRoute,
-                                          std::uint64_t aDraw);
+                                          std::uint64_t aRandom);
 
-  /// Gives the gaps between events that the routes of a service allow.
+  /// Returns the gap limits of the routes of a service.
   ServiceGaps GapsOf(std::string_view aService) const;
 
 private:
   RouteDocument document_;
-  // By host, the longest prefix first.
+  // By host, longest prefix first.
   std::map<std::string, std::vector<const Route*>, std::less<>> byHost_;
   std::map<std::string, const RoutedTeam*, std::less<>> byKey_;
   std::map<std::string, const RoutedService*, std::less<>> byName_;
-  // By service, in rising order.
+  // By service, in ascending order.
   std::map<std::string, std::set<std::chrono::milliseconds>, std::less<>> gaps_;
 };
 
--- a/include/gooseberrylift/routing/gooseberrylift-urgency.h
+++ b/include/gooseberrylift/routing/gooseberrylift-urgency.h
@@ -1,17 +1,17 @@
-// Decides how urgent a request is to the engine that gets it. The load it
-// answers: bursts that fill every slot of the fleet. First come, first served,
-// the queue at each engine soon takes longer than short requests can wait, and
-// then all of them are late, though most of them could have been served in
-// time. Those that are late already therefore let the others go first.
+// Priority class of a request at its engine. Bursts can fill every slot of the
+// fleet. With first-come-first-served queues, the wait at each engine would
+// soon exceed the time that short requests can wait, and all of them would be
+// late although most could be served in time. Requests that are already late
+// therefore yield to the others.
 
 #ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_URGENCY_H_
 #define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_URGENCY_H_
 
 namespace gooseberrylift {
 
-/// Gives a request's urgency at its engine, from 0, the first, to 9.
-/// @param aPriority the operator's, of the team or the route; 0 is the first
-/// @param aDeferred it is late wherever it goes
+/// Returns the priority class of a request, from 0 (first) to 9.
+/// @param aPriority priority of the team or the route; 0 is the most urgent
+/// @param aDeferred whether the request is late at every engine
 int UrgencyOf(int aPriority, bool aDeferred);
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-endpoint-directory.cc
+++ b/src/core/routing/gooseberrylift-endpoint-directory.cc
@@ -6,51 +6,51 @@
 
 bool EndpointDirectory::OnListed(const ListedEndpoint& aListed)
 {
-  const auto [youngest, isNew] =
-    youngest_.try_emplace(aListed.id_, aListed.born_);
-  if (aListed.born_ < youngest->second) {
-    return false; // a late word of a former life
+  const auto [newest, isNew] =
+    newestStart_.try_emplace(aListed.id_, aListed.born_);
+  if (aListed.born_ < newest->second) {
+    return false; // a delayed update of an older incarnation
   }
   ++changes_;
-  const bool reborn = !isNew && aListed.born_ > youngest->second;
-  youngest->second = aListed.born_;
-  entries_[aListed.id_] = { .listed_ = aListed, .dropAt_ = std::nullopt };
+  const bool restarted = !isNew && aListed.born_ > newest->second;
+  newest->second = aListed.born_;
+  entries_[aListed.id_] = { .listed_ = aListed, .removeAt_ = std::nullopt };
   if (aListed.leaving_) {
     leaving_[aListed.id_] = aListed.born_;
   }
-  return reborn;
+  return restarted;
 }
 
 void EndpointDirectory::OnRemoved(const std::string& aId, TimePoint aNow)
 {
   const auto found = entries_.find(aId);
   if (found != entries_.end()) {
-    Drop(found, aNow);
+    RemoveOrDefer(found, aNow);
   }
 }
 
 void EndpointDirectory::OnStoreReturned(TimePoint aNow)
 {
-  relistUntil_ = std::max(relistUntil_, aNow + options_.relistWithin_);
+  relistDeadline_ = std::max(relistDeadline_, aNow + options_.relistGrace_);
 }
 
 void EndpointDirectory::OnReplaced(const std::string& aId)
 {
-  const auto youngest = youngest_.find(aId);
-  if (youngest != youngest_.end()) {
+  const auto newest = newestStart_.find(aId);
+  if (newest != newestStart_.end()) {
     ++changes_;
-    leaving_[aId] = youngest->second;
+    leaving_[aId] = newest->second;
   }
 }
 
 void EndpointDirectory::OnEvacuated(const std::string& aZone)
 {
-  changes_ += evacuated_.insert(aZone).second ? 1 : 0;
+  changes_ += evacuatedZones_.insert(aZone).second ? 1 : 0;
 }
 
 void EndpointDirectory::OnEvacuationEnded(const std::string& aZone)
 {
-  changes_ += evacuated_.erase(aZone);
+  changes_ += evacuatedZones_.erase(aZone);
 }
 
 bool EndpointDirectory::IsLeaving(const ListedEndpoint& aListed) const
@@ -59,26 +59,27 @@
   return left != leaving_.end() && aListed.born_ <= left->second;
 }
 
-// Right after an outage a missing entry says little: its lease lapsed because
-// nothing could be renewed. Dropped at once, a service would stand without
-// endpoints for two seconds while all of them live.
-void EndpointDirectory::Drop(std::map<std::string, Entry>::iterator aEntry,
-                             TimePoint aNow)
+// After an outage of the store, an entry may be missing only because its lease
+// could not be renewed. Dropping it at once would leave a service without
+// endpoints for two seconds although all of them are alive.
+void EndpointDirectory::RemoveOrDefer(
+  std::map<std::string, Entry>::iterator aEntry,
+  TimePoint aNow)
 {
-  if (aNow >= relistUntil_) {
+  if (aNow >= relistDeadline_) {
     ++changes_;
     entries_.erase(aEntry);
     return;
   }
-  if (!aEntry->second.dropAt_) {
-    aEntry->second.dropAt_ = relistUntil_;
+  if (!aEntry->second.removeAt_) {
+    aEntry->second.removeAt_ = relistDeadline_;
   }
 }
 
 void EndpointDirectory::Sweep(TimePoint aNow)
 {
   const std::size_t dropped = std::erase_if(entries_, [aNow](const auto& aOne) {
-    return aOne.second.dropAt_ && aNow >= *aOne.second.dropAt_;
+    return aOne.second.removeAt_ && aNow >= *aOne.second.removeAt_;
   });
   changes_ += dropped;
 }
@@ -90,7 +91,7 @@
   for (const auto& [id, entry] : entries_) {
     const ListedEndpoint& listed = entry.listed_;
     if (listed.service_ == aService && !IsLeaving(listed) &&
-        !evacuated_.contains(listed.zone_)) {
+        !evacuatedZones_.contains(listed.zone_)) {
       usable.push_back(&entry.listed_);
     }
   }
--- a/src/core/routing/gooseberrylift-endpoint-trust.cc
+++ b/src/core/routing/gooseberrylift-endpoint-trust.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-// The share of all endpoints follows slowly, so that one bad endpoint does not
-// move the measure that it is held against.
-constexpr double kMemoryOfAll = 0.99;
-constexpr std::chrono::minutes kForget{ 1 };
+// The fleet-wide share decays slowly, so that a single failing endpoint hardly
+// changes the reference value that it is compared with.
+constexpr double kFleetDecay = 0.99;
+constexpr std::chrono::minutes kRecordExpiry{ 1 };
 
-double Decayed(double aShare, double aMemory, bool aFailed)
+double DecayedShare(double aShare, double aDecay, bool aFailed)
 {
-  return aShare * aMemory + (aFailed ? 1 - aMemory : 0);
+  return aShare * aDecay + (aFailed ? 1 - aDecay : 0);
 }
 
 } // namespace
@@ -23,24 +23,27 @@
                               TimePoint aNow)
 {
   Record& record = records_[aEndpoint];
-  record.last_ = aNow;
+  record.lastOutcome_ = aNow;
   if (aOutcome == EndpointOutcome::kRefused) {
-    return; // it answered in good order
+    return; // an orderly refusal is not a failure
   }
   const bool failed = aOutcome != EndpointOutcome::kServed;
-  record.failing_ = Decayed(record.failing_, options_.memory_, failed);
-  failingOfAll_ = Decayed(failingOfAll_, kMemoryOfAll, failed);
+  record.failureShare_ =
+    DecayedShare(record.failureShare_, options_.decay_, failed);
+  fleetFailureShare_ = DecayedShare(fleetFailureShare_, kFleetDecay, failed);
   if (aOutcome == EndpointOutcome::kUnreachable) {
-    const int doublings = std::min(record.unreachable_, 3);
-    ++record.unreachable_;
-    record.restUntil_ = aNow + std::min(options_.firstRest_ * (1 << doublings),
-                                        options_.longestRest_);
+    const int doublings = std::min(record.consecutiveUnreachable_, 3);
+    ++record.consecutiveUnreachable_;
+    record.ejectedUntil_ =
+      aNow + std::min(options_.initialEjection_ * (1 << doublings),
+                      options_.maxEjection_);
     return;
   }
-  record.unreachable_ = 0;
-  if (failed && record.failing_ > options_.failingShare_ &&
-      record.failing_ > options_.overOthers_ * failingOfAll_) {
-    record.restUntil_ = aNow + options_.failingRest_;
+  record.consecutiveUnreachable_ = 0;
+  if (failed && record.failureShare_ > options_.failureThreshold_ &&
+      record.failureShare_ >
+        options_.fleetFailureFactor_ * fleetFailureShare_) {
+    record.ejectedUntil_ = aNow + options_.failureEjection_;
   }
 }
 
@@ -48,13 +51,13 @@
                                TimePoint aNow) const
 {
   const auto found = records_.find(aEndpoint);
-  return found != records_.end() && aNow < found->second.restUntil_;
+  return found != records_.end() && aNow < found->second.ejectedUntil_;
 }
 
 void EndpointTrust::Sweep(TimePoint aNow)
 {
   std::erase_if(records_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.last_ > kForget;
+    return aNow - aEntry.second.lastOutcome_ > kRecordExpiry;
   });
 }
 
--- a/src/core/routing/gooseberrylift-engine-figures.cc
+++ b/src/core/routing/gooseberrylift-engine-figures.cc
@@ -25,11 +25,11 @@
 }
 
 std::chrono::microseconds EngineFigures::PassTime(
-  int aWriters,
+  int aDecoding,
   std::uint64_t aContextTokens) const
 {
   const double step =
-    stepMs_ + aWriters * stepPerSequenceMs_ +
+    stepMs_ + aDecoding * stepPerSequenceMs_ +
     static_cast<double>(aContextTokens) / 1000 * stepPerThousandMs_;
   return FromMilliseconds(step * std::max(stride_, 1));
 }
--- a/src/core/routing/gooseberrylift-fleet-load.cc
+++ b/src/core/routing/gooseberrylift-fleet-load.cc
@@ -9,18 +9,20 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-// What is left of a backlog after a while of work on it.
-microseconds After(microseconds aBacklog, TimePoint::duration aWhile)
+// Returns the backlog that remains after an engine has worked on it for a
+// while.
+microseconds RemainingBacklog(microseconds aBacklog,
+                              TimePoint::duration aElapsed)
 {
-  return std::max(aBacklog - duration_cast<microseconds>(aWhile),
+  return std::max(aBacklog - duration_cast<microseconds>(aElapsed),
                   microseconds(0));
 }
 
-// A prompt whose first token has not come is not read yet, however long ago it
-// was sent: other reads went first, or a pass took longer. This part of its
-// read is counted until then; with none, short requests were sent behind reads
-// that seemed done.
-constexpr int kUnreadPart = 2; // a half
+// Until its first token arrives, a prompt counts with at least its prefill time
+// divided by this, however long ago it was sent: other prompts may have been
+// prefilled first, or a pass may have taken longer. Without this lower bound,
+// short requests were sent behind prefills that seemed complete.
+constexpr int kMinBacklogDivisor = 2; // one half
 
 } // namespace
 
@@ -29,9 +31,9 @@
                        const RequestCost& aCost,
                        TimePoint aNow)
 {
-  Own& own = own_[aEndpoint];
+  LocalLoad& own = local_[aEndpoint];
   if (own.requests_.empty()) {
-    own.heard_ = aNow;
+    own.lastHeard_ = aNow;
   }
   own.requests_[aRequest] = { .cost_ = aCost, .at_ = aNow };
 }
@@ -40,16 +42,16 @@
                           std::uint64_t aRequest,
                           TimePoint aNow)
 {
-  Own& own = own_[aEndpoint];
-  own.heard_ = aNow;
+  LocalLoad& own = local_[aEndpoint];
+  own.lastHeard_ = aNow;
   const auto found = own.requests_.find(aRequest);
   if (found == own.requests_.end()) {
     return;
   }
-  Sent& sent = found->second;
+  SentRequest& sent = found->second;
   sent.started_ = true;
-  if (!sent.cost_.helping_) {
-    TimePoint& latest = own.latestBegun_.at(sent.cost_.deferred_ ? 1 : 0);
+  if (!sent.cost_.isHelper_) {
+    TimePoint& latest = own.latestStarted_.at(sent.cost_.deferred_ ? 1 : 0);
     latest = std::max(latest, sent.at_);
   }
 }
@@ -57,42 +59,42 @@
 bool FleetLoad::IsOvertaken(const std::string& aEndpoint,
                             std::uint64_t aRequest) const
 {
-  const auto own = own_.find(aEndpoint);
-  if (own == own_.end()) {
+  const auto own = local_.find(aEndpoint);
+  if (own == local_.end()) {
     return false;
   }
   const auto sent = own->second.requests_.find(aRequest);
   if (sent == own->second.requests_.end()) {
     return false;
   }
-  const auto& [urgent, deferred] = own->second.latestBegun_;
+  const auto& [urgent, deferred] = own->second.latestStarted_;
   const bool yields = sent->second.cost_.deferred_;
   return std::max(deferred, yields ? TimePoint{} : urgent) > sent->second.at_;
 }
 
 void FleetLoad::OnEnded(const std::string& aEndpoint, std::uint64_t aRequest)
 {
-  const auto found = own_.find(aEndpoint);
-  if (found == own_.end()) {
+  const auto found = local_.find(aEndpoint);
+  if (found == local_.end()) {
     return;
   }
   found->second.requests_.erase(aRequest);
   if (found->second.requests_.empty()) {
-    own_.erase(found);
+    local_.erase(found);
   }
 }
 
 void FleetLoad::OnReborn(const std::string& aEndpoint)
 {
-  own_.erase(aEndpoint);
+  local_.erase(aEndpoint);
   shares_.erase(aEndpoint);
 }
 
 void FleetLoad::OnHeard(const std::string& aEndpoint, TimePoint aNow)
 {
-  const auto found = own_.find(aEndpoint);
-  if (found != own_.end()) {
-    found->second.heard_ = aNow;
+  const auto found = local_.find(aEndpoint);
+  if (found != local_.end()) {
+    found->second.lastHeard_ = aNow;
   }
 }
 
@@ -102,19 +104,19 @@
 {
   Peer& peer = peers_[aHost];
   if (aAt < peer.at_) {
-    return; // words may overtake each other
+    return; // messages may arrive out of order
   }
   for (const std::string& endpoint : peer.endpoints_) {
     shares_[endpoint].erase(aHost);
   }
   peer = { .at_ = aAt };
-  Put(aHost, std::move(aShares), aAt);
+  StorePeerShares(aHost, std::move(aShares), aAt);
 }
 
 void FleetLoad::OnMoreOfPeer(const std::string& aHost,
                              std::vector<EndpointShare> aShares)
 {
-  Put(aHost, std::move(aShares), peers_[aHost].at_);
+  StorePeerShares(aHost, std::move(aShares), peers_[aHost].at_);
 }
 
 void FleetLoad::OnChangeOfPeer(const std::string& aHost,
@@ -123,12 +125,12 @@
 {
   Peer& peer = peers_[aHost];
   peer.at_ = std::max(peer.at_, aAt);
-  Put(aHost, std::move(aShares), aAt);
+  StorePeerShares(aHost, std::move(aShares), aAt);
 }
 
-void FleetLoad::Put(const std::string& aHost,
-                    std::vector<EndpointShare> aShares,
-                    TimePoint aAt)
+void FleetLoad::StorePeerShares(const std::string& aHost,
+                                std::vector<EndpointShare> aShares,
+                                TimePoint aAt)
 {
   Peer& peer = peers_[aHost];
   for (EndpointShare& share : aShares) {
@@ -138,36 +140,37 @@
   }
 }
 
-bool FleetLoad::Counts(const PeerShare& aSaid, TimePoint aNow) const
+bool FleetLoad::IsCurrent(const PeerShare& aReported, TimePoint aNow) const
 {
-  return aNow - aSaid.peer_->at_ < options_.forgetPeer_;
+  return aNow - aReported.peer_->at_ < options_.peerTimeout_;
 }
 
 EndpointShare FleetLoad::ShareOf(const std::string& aId,
-                                 const Own& aOwn,
+                                 const LocalLoad& aOwn,
                                  TimePoint aNow)
 {
   EndpointShare share{ .id_ = aId,
                        .silent_ = duration_cast<std::chrono::milliseconds>(
-                         aNow - aOwn.heard_) };
-  TimePoint oldestRead = aNow;
-  microseconds unread(0);
+                         aNow - aOwn.lastHeard_) };
+  TimePoint oldestSent = aNow;
+  microseconds minBacklog(0);
   for (const auto& [request, sent] : aOwn.requests_) {
     share.memoryTokens_ += sent.cost_.memoryTokens_;
-    if (!sent.cost_.helping_) {
+    if (!sent.cost_.isHelper_) {
       share.running_ += 1;
       share.tight_ += sent.cost_.tight_ ? 1 : 0;
     }
     if (!sent.started_) {
       share.deferred_ += sent.cost_.deferred_ ? 1 : 0;
       share.backlog_ += sent.cost_.read_;
-      unread += sent.cost_.read_ / kUnreadPart;
-      oldestRead = std::min(oldestRead, sent.at_);
+      minBacklog += sent.cost_.read_ / kMinBacklogDivisor;
+      oldestSent = std::min(oldestSent, sent.at_);
     }
   }
-  // An engine reads its prompts one after the other, so the time since the
-  // oldest was sent is taken from the sum once.
-  share.backlog_ = std::max(After(share.backlog_, aNow - oldestRead), unread);
+  // An engine prefills its prompts one after another, so the time since the
+  // oldest was sent is subtracted from the sum only once.
+  share.backlog_ =
+    std::max(RemainingBacklog(share.backlog_, aNow - oldestSent), minBacklog);
   return share;
 }
 
@@ -179,27 +182,27 @@
     load.running_ += aShare.running_;
     load.tight_ += aShare.tight_;
     load.memoryTokens_ += aShare.memoryTokens_;
-    load.backlog_ += After(aShare.backlog_, aAge);
+    load.backlog_ += RemainingBacklog(aShare.backlog_, aAge);
     load.deferred_ += aShare.deferred_;
   };
-  const auto own = own_.find(aEndpoint);
-  if (own != own_.end()) {
+  const auto own = local_.find(aEndpoint);
+  if (own != local_.end()) {
     add(ShareOf(aEndpoint, own->second, aNow), TimePoint::duration(0));
   }
   const auto peers = shares_.find(aEndpoint);
   if (peers == shares_.end()) {
     return load;
   }
-  for (const auto& [host, said] : peers->second) {
-    if (Counts(said, aNow)) {
-      add(said.share_, aNow - said.at_);
+  for (const auto& [host, reported] : peers->second) {
+    if (IsCurrent(reported, aNow)) {
+      add(reported.share_, aNow - reported.at_);
     }
   }
   return load;
 }
 
 std::vector<EndpointShare> FleetLoad::Sum(
-  const std::function<bool(const std::string& aHost)>& aCounts,
+  const std::function<bool(const std::string& aHost)>& aIncludes,
   TimePoint aNow) const
 {
   std::map<std::string, EndpointShare> sums;
@@ -213,7 +216,7 @@
     share.running_ += aShare.running_;
     share.tight_ += aShare.tight_;
     share.memoryTokens_ += aShare.memoryTokens_;
-    share.backlog_ += After(aShare.backlog_, aAge);
+    share.backlog_ += RemainingBacklog(aShare.backlog_, aAge);
     share.deferred_ += aShare.deferred_;
     share.silent_ = std::min(share.silent_, silent);
   };
@@ -221,9 +224,9 @@
     add(own, TimePoint::duration(0));
   }
   for (const auto& [endpoint, peers] : shares_) {
-    for (const auto& [host, said] : peers) {
-      if (Counts(said, aNow) && aCounts(host)) {
-        add(said.share_, aNow - said.at_);
+    for (const auto& [host, reported] : peers) {
+      if (IsCurrent(reported, aNow) && aIncludes(host)) {
+        add(reported.share_, aNow - reported.at_);
       }
     }
   }
@@ -244,13 +247,13 @@
   if (peers == shares_.end()) {
     return silent;
   }
-  for (const auto& [host, said] : peers->second) {
-    if (!Counts(said, aNow)) {
+  for (const auto& [host, reported] : peers->second) {
+    if (!IsCurrent(reported, aNow)) {
       continue;
     }
     const auto since =
-      said.share_.silent_ +
-      duration_cast<std::chrono::milliseconds>(aNow - said.at_);
+      reported.share_.silent_ +
+      duration_cast<std::chrono::milliseconds>(aNow - reported.at_);
     silent = std::min(silent.value_or(since), since);
   }
   return silent;
@@ -259,16 +262,16 @@
 EndpointShare FleetLoad::OwnShare(const std::string& aEndpoint,
                                   TimePoint aNow) const
 {
-  const auto own = own_.find(aEndpoint);
-  return own == own_.end() ? EndpointShare{ .id_ = aEndpoint }
-                           : ShareOf(aEndpoint, own->second, aNow);
+  const auto own = local_.find(aEndpoint);
+  return own == local_.end() ? EndpointShare{ .id_ = aEndpoint }
+                             : ShareOf(aEndpoint, own->second, aNow);
 }
 
 std::vector<EndpointShare> FleetLoad::OwnShares(TimePoint aNow) const
 {
   std::vector<EndpointShare> shares;
-  shares.reserve(own_.size());
-  for (const auto& [id, own] : own_) {
+  shares.reserve(local_.size());
+  for (const auto& [id, own] : local_) {
     shares.push_back(ShareOf(id, own, aNow));
   }
   return shares;
@@ -277,11 +280,12 @@
 std::chrono::milliseconds FleetLoad::SilentFor(const std::string& aEndpoint,
                                                TimePoint aNow) const
 {
-  const auto own = own_.find(aEndpoint);
-  if (own == own_.end()) {
+  const auto own = local_.find(aEndpoint);
+  if (own == local_.end()) {
     return std::chrono::milliseconds(0);
   }
-  return duration_cast<std::chrono::milliseconds>(aNow - own->second.heard_);
+  return duration_cast<std::chrono::milliseconds>(aNow -
+                                                  own->second.lastHeard_);
 }
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-fleet-order.cc
+++ b/src/core/routing/gooseberrylift-fleet-order.cc
@@ -43,9 +43,9 @@
 }
 
 std::vector<ListedEndpoint> OrderByDraw(std::vector<ListedEndpoint> aEndpoints,
-                                        std::uint64_t aDraw)
+                                        std::uint64_t aRandom)
 {
-  SortByHash(aEndpoints.begin(), aEndpoints.end(), aDraw);
+  SortByHash(aEndpoints.begin(), aEndpoints.end(), aRandom);
   return aEndpoints;
 }
 
--- a/src/core/routing/gooseberrylift-fleet-placement.cc
+++ b/src/core/routing/gooseberrylift-fleet-placement.cc
@@ -14,9 +14,9 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-// Takes away limited engines while there are others: each part of a long prompt
-// is a request to the engine that reads it.
-std::vector<const PlacementCandidate*> UnlimitedOf(
+// Returns the engines without a rate limit. A long prompt prefers these,
+// because each of its parts is one request to the engine that prefills it.
+std::vector<const PlacementCandidate*> WithoutLimited(
   const std::vector<const PlacementCandidate*>& aCandidates)
 {
   std::vector<const PlacementCandidate*> unlimited;
@@ -28,10 +28,12 @@
   return unlimited;
 }
 
-// Puts limited engines before the others, into the short lane. Each of them is
-// there for one request, by a permit that is lost when it is not used; and only
-// an answer tells that its limit has ended.
-std::size_t LimitedFirst(std::vector<const PlacementCandidate*>& aCandidates)
+// Moves limited engines to the front, into the short lane, and returns their
+// number. A limited engine is a candidate for a single request, by a permit
+// that is lost if it is not used; and only an answer shows that the limit has
+// ended.
+std::size_t MoveLimitedFirst(
+  std::vector<const PlacementCandidate*>& aCandidates)
 {
   const auto others = std::stable_partition(
     aCandidates.begin(),
@@ -40,234 +42,245 @@
   return static_cast<std::size_t>(others - aCandidates.begin());
 }
 
-// The requests that go before a new one which is not deferred.
-int Urgent(const EndpointLoad& aLoad)
+// Returns the number of requests that precede a new one which is not deferred.
+int CountNotDeferred(const EndpointLoad& aLoad)
 {
   return aLoad.running_ - aLoad.deferred_;
 }
 
-// An engine that writes may keep a request waiting for a pass or so more than
-// an idle one.
-constexpr std::chrono::milliseconds kWriterWait{ 60 };
+// An engine that decodes may delay a prompt by this much more than an idle one:
+// about one pass.
+constexpr std::chrono::milliseconds kDecodingWaitMargin{ 60 };
 
 } // namespace
 
-// One request as the choice sees it.
+// A request to be placed, with the values derived from it.
 struct EnginePlacement::Task
 {
-  const EngineFigures& figures_;
+  const EngineFigures& profile_;
   const PlacementRequest& request_;
-  microseconds read_; // on one engine
+  microseconds read_; // prefill time on one engine
   microseconds shortestGap_;
   microseconds nextGap_;
   bool isLong_;
-  std::uint64_t memory_;
+  std::uint64_t totalTokens_;
 };
 
 // How the engines, in the order shared by all hosts, are divided between short
 // and long requests.
-struct EnginePlacement::Lanes
+struct EnginePlacement::LaneSplit
 {
-  std::size_t shortCount_ = 0; // leading engines for short requests
+  std::size_t shortCount_ = 0; // leading engines that take short requests
   bool hasSpare_ = false;      // spare engines extend the short lane
 };
 
-microseconds EnginePlacement::WaitAt(const EngineFigures& aFigures,
-                                     const EndpointLoad& aLoad,
-                                     int aAhead)
+microseconds EnginePlacement::PredictWait(const EngineFigures& aProfile,
+                                          const EndpointLoad& aLoad,
+                                          int aQueuedAhead)
 {
-  const int writers = std::min(aLoad.running_, aFigures.slots_);
-  const microseconds pass = aFigures.PassTime(writers, aLoad.memoryTokens_);
-  // A request joins at the end of the pass under way: half of one on average.
+  const int decodingCount = std::min(aLoad.running_, aProfile.slots_);
+  const microseconds pass =
+    aProfile.PassTime(decodingCount, aLoad.memoryTokens_);
+  // A request starts after the current pass, half of which remains on average.
   microseconds wait = aLoad.backlog_;
-  if (writers > 0) {
+  if (decodingCount > 0) {
     wait += pass / 2;
   }
-  const int over = aAhead - aFigures.slots_ + 1;
-  if (over > 0) {
-    const double passes = static_cast<double>(aFigures.usualAnswerTokens_) /
-                          std::max(aFigures.stride_, 1);
-    // Requests end evenly spread over the time of one.
-    wait += Scaled(pass, passes * over / std::max(aFigures.slots_, 1));
+  const int excess = aQueuedAhead - aProfile.slots_ + 1;
+  if (excess > 0) {
+    const double passes = static_cast<double>(aProfile.usualAnswerTokens_) /
+                          std::max(aProfile.stride_, 1);
+    // Assumes that the ends of running requests are spread evenly over the
+    // duration of one request.
+    wait += Scaled(pass, passes * excess / std::max(aProfile.slots_, 1));
   }
   return wait;
 }
 
-// Those that write at an engine are late when a pass, with all that is read in
-// it, takes longer than the gap that they bear.
-microseconds EnginePlacement::HarmAt(const Task& aTask,
-                                     const EndpointLoad& aLoad,
-                                     microseconds aRead) const
+// Returns the penalty for the requests that decode at an engine. They are late
+// if a pass, including all prefill in it, takes longer than their gap limit.
+microseconds EnginePlacement::DelayPenalty(const Task& aTask,
+                                           const EndpointLoad& aLoad,
+                                           microseconds aPrefill) const
 {
   const microseconds pass =
-    aTask.figures_.PassTime(aLoad.running_, aLoad.memoryTokens_) + aRead;
-  microseconds harm(0);
+    aTask.profile_.PassTime(aLoad.running_, aLoad.memoryTokens_) + aPrefill;
+  microseconds penalty(0);
   if (pass > aTask.shortestGap_) {
-    harm += duration_cast<microseconds>(options_.harm_) * aLoad.tight_;
+    penalty += duration_cast<microseconds>(options_.harm_) * aLoad.tight_;
   }
   if (pass + aLoad.backlog_ > aTask.nextGap_) {
-    harm += duration_cast<microseconds>(options_.harmOther_) *
-            (aLoad.running_ - aLoad.tight_);
+    penalty += duration_cast<microseconds>(options_.harmOther_) *
+               (aLoad.running_ - aLoad.tight_);
   }
-  return harm;
+  return penalty;
 }
 
-// Says whether an engine has room for a part of the request.
+// Returns whether an engine has memory for an equal part of the request.
 bool EnginePlacement::HasMemory(const Task& aTask,
                                 const EndpointLoad& aLoad,
                                 std::size_t aEngines) const
 {
-  if (aTask.figures_.memoryTokens_ == 0) {
+  if (aTask.profile_.memoryTokens_ == 0) {
     return true;
   }
   const double part =
-    static_cast<double>(aTask.memory_) / static_cast<double>(aEngines);
+    static_cast<double>(aTask.totalTokens_) / static_cast<double>(aEngines);
   return static_cast<double>(aLoad.memoryTokens_) + part <=
-         static_cast<double>(aTask.figures_.memoryTokens_) *
-           options_.memoryShare_;
+         static_cast<double>(aTask.profile_.memoryTokens_) *
+           options_.usableMemoryShare_;
 }
 
 std::optional<PlacementChoice> EnginePlacement::Choose(
-  const EngineFigures& aFigures,
+  const EngineFigures& aProfile,
   const ServiceGaps& aGaps,
   const std::vector<PlacementCandidate>& aCandidates,
   const PlacementRequest& aRequest) const
 {
-  const microseconds read = aFigures.ReadTime(aRequest.promptTokens_);
+  const microseconds read = aProfile.ReadTime(aRequest.promptTokens_);
   const auto gap = duration_cast<microseconds>(aGaps.shortest_);
-  const Task task{ .figures_ = aFigures,
+  const Task task{ .profile_ = aProfile,
                    .request_ = aRequest,
                    .read_ = read,
                    .shortestGap_ = gap,
                    .nextGap_ = duration_cast<microseconds>(aGaps.next_),
                    .isLong_ = read > Scaled(gap, options_.longRead_),
-                   .memory_ = aRequest.promptTokens_ + aRequest.answerTokens_ };
-  std::vector<const PlacementCandidate*> candidates = BestOf(aCandidates);
-  std::size_t mostEngines = static_cast<std::size_t>(options_.mostEngines_);
+                   .totalTokens_ =
+                     aRequest.promptTokens_ + aRequest.answerTokens_ };
+  std::vector<const PlacementCandidate*> candidates =
+    PreferredCandidates(aCandidates);
+  std::size_t maxEngines = static_cast<std::size_t>(options_.mostEngines_);
   if (task.isLong_) {
-    const auto unlimited = UnlimitedOf(candidates);
+    const auto unlimited = WithoutLimited(candidates);
     if (unlimited.empty()) {
-      mostEngines = 1;
+      maxEngines = 1;
     } else {
       candidates = unlimited;
     }
   }
-  Lanes lanes = LanesOf(task, candidates);
+  LaneSplit lanes = SplitLanes(task, candidates);
   if (!task.isLong_) {
-    lanes.shortCount_ += LimitedFirst(candidates);
+    lanes.shortCount_ += MoveLimitedFirst(candidates);
   }
-  auto choice = task.isLong_ ? ChooseLong(task, candidates, lanes, mostEngines)
+  auto choice = task.isLong_ ? ChooseLong(task, candidates, lanes, maxEngines)
                              : ChooseShort(task, candidates, lanes.shortCount_);
   if (!choice && task.isLong_) {
-    // A prompt that needs the memory of the short lane's engines as well.
-    choice = ChooseLong(task, candidates, {}, mostEngines);
+    // The prompt also needs the memory of engines in the short lane.
+    choice = ChooseLong(task, candidates, {}, maxEngines);
   }
   if (choice) {
     choice->cost_.tight_ =
       aRequest.maxGap_.count() > 0 && aRequest.maxGap_ <= aGaps.shortest_;
-    choice->helperCost_.helping_ = true;
+    choice->helperCost_.isHelper_ = true;
     choice->helperCost_.memoryTokens_ = choice->heldTokens_;
     choice->cost_.memoryTokens_ =
-      task.memory_ - choice->heldTokens_ * choice->helpers_.size();
+      task.totalTokens_ - choice->heldTokens_ * choice->helpers_.size();
   }
   return choice;
 }
 
-EnginePlacement::Lanes EnginePlacement::LanesOf(
+EnginePlacement::LaneSplit EnginePlacement::SplitLanes(
   const Task& aTask,
   const std::vector<const PlacementCandidate*>& aCandidates) const
 {
   const std::size_t all = aCandidates.size();
   if (aTask.request_.blind_) {
-    const double part = static_cast<double>(all) * options_.blindLane_;
+    const double part =
+      static_cast<double>(all) * options_.unknownLoadLaneShare_;
     return { .shortCount_ =
                std::max<std::size_t>(static_cast<std::size_t>(part), 1) };
   }
   int tight = 0;
-  std::size_t longBusy = 0; // engines in use by long prompts
+  std::size_t longEngines = 0; // engines used by long prompts
   for (const PlacementCandidate* candidate : aCandidates) {
     const EndpointLoad& load = candidate->load_;
     tight += load.tight_;
-    longBusy +=
+    longEngines +=
       load.running_ > load.tight_ || load.backlog_.count() > 0 ? 1 : 0;
   }
-  const double perEngine = aTask.figures_.slots_ * options_.comfortable_;
+  const double perEngine = aTask.profile_.slots_ * options_.comfortable_;
   const auto needed = static_cast<std::size_t>(
     std::ceil((tight + options_.laneSpare_) / std::max(perEngine, 1.0)));
-  const auto kept = static_cast<std::size_t>(
+  const auto reserved = static_cast<std::size_t>(
     std::ceil(static_cast<double>(all) * options_.keptForLong_));
   const auto oneLong = static_cast<std::size_t>(options_.mostEngines_);
   const double used =
-    static_cast<double>(needed + std::max(longBusy, oneLong)) *
+    static_cast<double>(needed + std::max(longEngines, oneLong)) *
     options_.spareBeyond_;
   const double spare = std::max(static_cast<double>(all) - used, 0.0);
   const auto extra = static_cast<std::size_t>(spare * options_.spareForShort_);
-  const std::size_t most = std::max<std::size_t>(all - std::min(kept, all), 1);
+  const std::size_t most =
+    std::max<std::size_t>(all - std::min(reserved, all), 1);
   return { .shortCount_ = std::clamp<std::size_t>(needed + extra, 1, most),
            .hasSpare_ = extra > 0 };
 }
 
-// An engine that would take a short request.
-struct EnginePlacement::Fit
+// An engine that could take a short request, and its predicted first answer.
+struct EnginePlacement::ShortCandidate
 {
   const PlacementCandidate* candidate_ = nullptr;
-  microseconds first_; // until its first answer
+  microseconds first_; // predicted time until the first answer
 };
 
 std::optional<PlacementChoice> EnginePlacement::ChooseShort(
   const Task& aTask,
   const std::vector<const PlacementCandidate*>& aCandidates,
-  std::size_t aLane) const
+  std::size_t aLaneSize) const
 {
-  const EngineFigures& figures = aTask.figures_;
+  const EngineFigures& profile = aTask.profile_;
   const auto objective = duration_cast<microseconds>(aTask.request_.objective_);
-  const microseconds enough = Scaled(objective, options_.waitShare_);
-  std::vector<Fit> fits;
+  const microseconds acceptableWait = Scaled(objective, options_.waitShare_);
+  std::vector<ShortCandidate> shortCandidates;
   microseconds bestFirst = microseconds::max();
-  // Blind hosts would all begin with the first engine.
+  // Without the load of other hosts, all hosts would start at the first engine.
   const std::size_t start =
-    aTask.request_.blind_ ? aTask.request_.draw_ % aLane : 0;
+    aTask.request_.blind_ ? aTask.request_.draw_ % aLaneSize : 0;
   for (std::size_t number = 0; number < aCandidates.size(); ++number) {
     const std::size_t index =
-      number < aLane ? (start + number) % aLane : number;
+      number < aLaneSize ? (start + number) % aLaneSize : number;
     const EndpointLoad& load = aCandidates[index]->load_;
     if (!HasMemory(aTask, load, 1)) {
       continue;
     }
-    if (index >= aLane && !fits.empty() && bestFirst - aTask.read_ <= enough) {
-      break; // the lane will do
+    if (index >= aLaneSize && !shortCandidates.empty() &&
+        bestFirst - aTask.read_ <= acceptableWait) {
+      break; // an engine of the lane is fast enough
     }
     const microseconds first =
-      WaitAt(figures, load, Urgent(load)) + aTask.read_ +
-      figures.PassTime(load.running_ + 1, load.memoryTokens_);
-    fits.push_back({ .candidate_ = aCandidates[index], .first_ = first });
+      PredictWait(profile, load, CountNotDeferred(load)) + aTask.read_ +
+      profile.PassTime(load.running_ + 1, load.memoryTokens_);
+    shortCandidates.push_back(
+      { .candidate_ = aCandidates[index], .first_ = first });
     bestFirst = std::min(bestFirst, first);
   }
-  if (fits.empty()) {
+  if (shortCandidates.empty()) {
     return std::nullopt;
   }
-  const microseconds alike = Scaled(objective, options_.alikeShare_);
-  const double comfortable = figures.slots_ * options_.comfortable_;
-  std::erase_if(fits, [&](const Fit& aFit) {
-    const bool full = aFit.candidate_->load_.running_ > comfortable;
-    return aFit.first_ > bestFirst + (full ? microseconds(0) : alike);
+  const microseconds tieMargin = Scaled(objective, options_.alikeShare_);
+  const double targetRequests = profile.slots_ * options_.comfortable_;
+  std::erase_if(shortCandidates, [&](const ShortCandidate& aShort) {
+    const bool pastTarget = aShort.candidate_->load_.running_ > targetRequests;
+    return aShort.first_ >
+           bestFirst + (pastTarget ? microseconds(0) : tieMargin);
   });
-  const bool permitted =
-    std::any_of(fits.begin(), fits.end(), [](const Fit& aFit) {
-      return aFit.candidate_->limited_;
-    });
+  const bool permitted = std::any_of(
+    shortCandidates.begin(),
+    shortCandidates.end(),
+    [](const ShortCandidate& aShort) { return aShort.candidate_->limited_; });
   if (permitted) {
-    std::erase_if(fits,
-                  [](const Fit& aFit) { return !aFit.candidate_->limited_; });
+    std::erase_if(shortCandidates, [](const ShortCandidate& aShort) {
+      return !aShort.candidate_->limited_;
+    });
   }
-  const Fit& drawn = fits[aTask.request_.draw_ % fits.size()];
+  const ShortCandidate& drawn =
+    shortCandidates[aTask.request_.draw_ % shortCandidates.size()];
   const PlacementCandidate* best = drawn.candidate_;
   bestFirst = drawn.first_;
   const bool late = bestFirst > Scaled(objective, options_.inTimeShare_);
   if (late) {
     const EndpointLoad& load = best->load_;
-    bestFirst += WaitAt(figures, load, load.running_) -
-                 WaitAt(figures, load, Urgent(load));
+    bestFirst += PredictWait(profile, load, load.running_) -
+                 PredictWait(profile, load, CountNotDeferred(load));
   }
   return PlacementChoice{ .endpoint_ = best->endpoint_,
                           .firstAnswer_ = bestFirst,
@@ -276,86 +289,91 @@
                                      .deferred_ = late } };
 }
 
-// An engine as one that might read a part.
-struct EnginePlacement::Ranked
+// An engine considered for prefilling a part of a prompt.
+struct EnginePlacement::RankedEngine
 {
   const PlacementCandidate* candidate_;
   microseconds wait_;
-  microseconds harm_;
-  std::size_t number_; // in the order of the choice, of equals the first counts
+  microseconds penalty_;
+  std::size_t order_; // of equals, the lowest is preferred
 };
 
-// Gives the best readers for the parts of a prompt, best first; fewer than are
-// wanted where too few have room. Each of the aHolders holds a part of it.
-std::vector<EnginePlacement::Ranked> EnginePlacement::BestReaders(
-  const Task& aTask,
-  const std::vector<Ranked>& aEngines,
-  std::size_t aHolders,
-  std::size_t aReaders) const
+// Returns the best engines for prefilling the parts of a prompt, best first;
+// fewer than requested if too few have memory. Each must have memory for one of
+// aStoringEngines equal parts.
+std::vector<EnginePlacement::RankedEngine>
+EnginePlacement::SelectPrefillEngines(const Task& aTask,
+                                      const std::vector<RankedEngine>& aEngines,
+                                      std::size_t aStoringEngines,
+                                      std::size_t aPrefillEngines) const
 {
-  const microseconds part = aTask.read_ / static_cast<std::int64_t>(aReaders);
-  std::vector<Ranked> ranked;
+  const microseconds part =
+    aTask.read_ / static_cast<std::int64_t>(aPrefillEngines);
+  std::vector<RankedEngine> ranked;
   ranked.reserve(aEngines.size());
-  for (const Ranked& engine : aEngines) {
+  for (const RankedEngine& engine : aEngines) {
     const EndpointLoad& load = engine.candidate_->load_;
-    if (HasMemory(aTask, load, aHolders)) {
+    if (HasMemory(aTask, load, aStoringEngines)) {
       ranked.push_back(engine);
-      ranked.back().harm_ = HarmAt(aTask, load, part);
+      ranked.back().penalty_ = DelayPenalty(aTask, load, part);
     }
   }
-  const std::size_t readers = std::min(ranked.size(), aReaders);
+  const std::size_t selected = std::min(ranked.size(), aPrefillEngines);
   std::partial_sort(
     ranked.begin(),
-    ranked.begin() + static_cast<std::ptrdiff_t>(readers),
+    ranked.begin() + static_cast<std::ptrdiff_t>(selected),
     ranked.end(),
-    [](const Ranked& aLeft, const Ranked& aRight) {
-      return std::pair(aLeft.wait_ + aLeft.harm_, aLeft.number_) <
-             std::pair(aRight.wait_ + aRight.harm_, aRight.number_);
+    [](const RankedEngine& aLeft, const RankedEngine& aRight) {
+      return std::pair(aLeft.wait_ + aLeft.penalty_, aLeft.order_) <
+             std::pair(aRight.wait_ + aRight.penalty_, aRight.order_);
     });
-  ranked.resize(readers);
+  ranked.resize(selected);
   return ranked;
 }
 
-// Lets an engine that writes already, and bears the part that it reads itself,
-// take the request, in place of the last of the chosen ones. The others then
-// only read, in short steps, because nobody writes there: reading and writing
-// are kept apart as far as there are engines for it.
-void EnginePlacement::PreferWriter(
+// Moves an engine that already decodes, and tolerates the prefill of its own
+// part, to the front of the selection, so that it runs the request; if it was
+// not selected, it replaces the last one. The other engines then only prefill,
+// in short steps because nothing decodes there: prefill and decoding are
+// separated as far as there are engines for it.
+void EnginePlacement::PreferDecodingEngine(
   const Task& aTask,
   const std::vector<const PlacementCandidate*>& aCandidates,
   microseconds aPart,
-  std::vector<Ranked>& aChosen) const
+  std::vector<RankedEngine>& aChosen) const
 {
   microseconds longest(0);
-  for (const Ranked& one : aChosen) {
+  for (const RankedEngine& one : aChosen) {
     longest = std::max(longest, one.wait_);
   }
-  const PlacementCandidate* writer = nullptr;
+  const PlacementCandidate* decoding = nullptr;
   for (const PlacementCandidate* candidate : aCandidates) {
     const EndpointLoad& load = candidate->load_;
-    const bool fits = load.running_ > 0 && load.tight_ == 0 &&
-                      load.running_ < aTask.figures_.slots_ &&
-                      HasMemory(aTask, load, 1) &&
-                      HarmAt(aTask, load, aPart).count() == 0 &&
-                      WaitAt(aTask.figures_, load, Urgent(load)) <=
-                        longest + duration_cast<microseconds>(kWriterWait);
-    if (fits && (writer == nullptr || load.running_ > writer->load_.running_)) {
-      writer = candidate;
+    const bool eligible =
+      load.running_ > 0 && load.tight_ == 0 &&
+      load.running_ < aTask.profile_.slots_ && HasMemory(aTask, load, 1) &&
+      DelayPenalty(aTask, load, aPart).count() == 0 &&
+      PredictWait(aTask.profile_, load, CountNotDeferred(load)) <=
+        longest + duration_cast<microseconds>(kDecodingWaitMargin);
+    if (eligible &&
+        (decoding == nullptr || load.running_ > decoding->load_.running_)) {
+      decoding = candidate;
     }
   }
-  if (writer == nullptr) {
+  if (decoding == nullptr) {
     return;
   }
   const auto found = std::find_if(
-    aChosen.begin(), aChosen.end(), [writer](const Ranked& aRanked) {
-      return aRanked.candidate_ == writer;
+    aChosen.begin(), aChosen.end(), [decoding](const RankedEngine& aRanked) {
+      return aRanked.candidate_ == decoding;
     });
   if (found == aChosen.end()) {
-    aChosen.back() = { .candidate_ = writer,
-                       .wait_ = WaitAt(
-                         aTask.figures_, writer->load_, Urgent(writer->load_)),
-                       .harm_ = microseconds(0),
-                       .number_ = 0 };
+    aChosen.back() = { .candidate_ = decoding,
+                       .wait_ = PredictWait(aTask.profile_,
+                                            decoding->load_,
+                                            CountNotDeferred(decoding->load_)),
+                       .penalty_ = microseconds(0),
+                       .order_ = 0 };
     std::rotate(aChosen.begin(), aChosen.end() - 1, aChosen.end());
     return;
   }
@@ -364,58 +382,59 @@
 
 std::optional<PlacementChoice> EnginePlacement::ChooseLong(
   const Task& aTask,
-  const std::vector<const PlacementCandidate*>& aAll,
-  const Lanes& aLanes,
-  std::size_t aMostEngines) const
+  const std::vector<const PlacementCandidate*>& aCandidates,
+  const LaneSplit& aLanes,
+  std::size_t aMaxEngines) const
 {
-  const EngineFigures& figures = aTask.figures_;
-  std::vector<const PlacementCandidate*> aCandidates(
-    aAll.begin() + static_cast<std::ptrdiff_t>(
-                     aLanes.shortCount_ < aAll.size() ? aLanes.shortCount_ : 0),
-    aAll.end());
-  const std::size_t mostEngines = std::min(aMostEngines, aCandidates.size());
+  const EngineFigures& profile = aTask.profile_;
+  std::vector<const PlacementCandidate*> candidates(
+    aCandidates.begin() +
+      static_cast<std::ptrdiff_t>(
+        aLanes.shortCount_ < aCandidates.size() ? aLanes.shortCount_ : 0),
+    aCandidates.end());
+  const std::size_t maxEngines = std::min(aMaxEngines, candidates.size());
   const microseconds target =
     Scaled(duration_cast<microseconds>(aTask.request_.objective_),
            options_.readShare_);
-  const microseconds useful =
+  const microseconds missThreshold =
     Scaled(duration_cast<microseconds>(aTask.request_.objective_),
            options_.usefulShare_);
-  const bool fitsOne = std::any_of(
-    aCandidates.begin(), aCandidates.end(), [&](const auto* aCandidate) {
+  const bool fitsOneEngine = std::any_of(
+    candidates.begin(), candidates.end(), [&](const auto* aCandidate) {
       return HasMemory(aTask, aCandidate->load_, 1);
     });
-  // From the end of the order that is farthest from the short lane.
-  std::vector<Ranked> all;
-  all.reserve(aCandidates.size());
+  // Starts at the end of the order that is farthest from the short lane.
+  std::vector<RankedEngine> all;
+  all.reserve(candidates.size());
   // Keeps hosts with delayed load data from choosing the same idle engines.
   const std::size_t start =
-    aLanes.hasSpare_ ? aTask.request_.draw_ % aCandidates.size() : 0;
-  for (auto candidate = aCandidates.rbegin(); candidate != aCandidates.rend();
+    aLanes.hasSpare_ ? aTask.request_.draw_ % candidates.size() : 0;
+  for (auto candidate = candidates.rbegin(); candidate != candidates.rend();
        ++candidate) {
     const EndpointLoad& load = (*candidate)->load_;
     all.push_back({ .candidate_ = *candidate,
-                    .wait_ = WaitAt(figures, load, Urgent(load)),
-                    .harm_ = microseconds(0),
-                    .number_ = (all.size() + start) % aCandidates.size() });
+                    .wait_ = PredictWait(profile, load, CountNotDeferred(load)),
+                    .penalty_ = microseconds(0),
+                    .order_ = (all.size() + start) % candidates.size() });
   }
-  std::vector<Ranked> best;
+  std::vector<RankedEngine> best;
   microseconds bestValue = microseconds::max();
-  for (std::size_t engines = 1; engines <= mostEngines; ++engines) {
-    std::vector<Ranked> ranked =
-      BestReaders(aTask, all, fitsOne ? 1 : engines, engines);
+  for (std::size_t engines = 1; engines <= maxEngines; ++engines) {
+    std::vector<RankedEngine> ranked =
+      SelectPrefillEngines(aTask, all, fitsOneEngine ? 1 : engines, engines);
     if (ranked.size() < engines) {
-      continue; // too few have room for parts of this size
+      continue; // too few engines have memory for parts of this size
     }
     microseconds wait(0);
-    microseconds harm(0);
-    for (const Ranked& one : ranked) {
+    microseconds penalty(0);
+    for (const RankedEngine& one : ranked) {
       wait = std::max(wait, one.wait_);
-      harm += one.harm_;
+      penalty += one.penalty_;
     }
     const microseconds first =
       wait + aTask.read_ / static_cast<std::int64_t>(engines);
-    microseconds value = first + harm;
-    if (first > useful) {
+    microseconds value = first + penalty;
+    if (first > missThreshold) {
       value += duration_cast<microseconds>(options_.missed_);
     }
     if (value < bestValue) {
@@ -431,29 +450,29 @@
   }
   const microseconds part =
     aTask.read_ / static_cast<std::int64_t>(best.size());
-  if (fitsOne) {
-    PreferWriter(aTask, aCandidates, part, best);
+  if (fitsOneEngine) {
+    PreferDecodingEngine(aTask, candidates, part, best);
   }
   const EndpointLoad& load = best.front().candidate_->load_;
   PlacementChoice choice{ .endpoint_ = best.front().candidate_->endpoint_,
                           .cost_ = { .read_ = part },
                           .helperCost_ = { .read_ = part } };
   microseconds wait(0);
-  microseconds harm(0);
-  for (const Ranked& one : best) {
+  microseconds penalty(0);
+  for (const RankedEngine& one : best) {
     wait = std::max(wait, one.wait_);
-    harm += one.harm_;
+    penalty += one.penalty_;
     if (&one != &best.front()) {
       choice.helpers_.push_back(one.candidate_->endpoint_);
     }
   }
-  if (!fitsOne) {
-    choice.heldTokens_ = (aTask.memory_ + best.size() - 1) / best.size();
+  if (!fitsOneEngine) {
+    choice.heldTokens_ = (aTask.totalTokens_ + best.size() - 1) / best.size();
   }
   choice.long_ = true;
-  choice.wait_ = wait + Scaled(harm, options_.heldHarm_);
+  choice.wait_ = wait + Scaled(penalty, options_.heldHarm_);
   choice.firstAnswer_ =
-    wait + part + figures.PassTime(load.running_ + 1, load.memoryTokens_);
+    wait + part + profile.PassTime(load.running_ + 1, load.memoryTokens_);
   return choice;
 }
 
--- a/src/core/routing/gooseberrylift-fleet-view.cc
+++ b/src/core/routing/gooseberrylift-fleet-view.cc
@@ -4,12 +4,12 @@
 
 bool FleetView::IsBlind(TimePoint aNow) const
 {
-  const bool hears =
-    heard_ != TimePoint{} && aNow - heard_ < options_.forgetPeer_;
-  if (hears) {
+  const bool hasRecentMessage =
+    lastMessage_ != TimePoint{} && aNow - lastMessage_ < options_.peerTimeout_;
+  if (hasRecentMessage) {
     return false;
   }
-  return peers_ > 0 || aNow - started_ < options_.expectsPeers_;
+  return peerCount_ > 0 || aNow - started_ < options_.peerDiscovery_;
 }
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-placement-candidates.h
+++ b/src/core/routing/gooseberrylift-placement-candidates.h
@@ -1,4 +1,4 @@
-// What the placements of engines and of plain services share.
+// Functions shared by the placements on engines and on plain services.
 
 #ifndef GOOSEBERRYLIFT_CORE_ROUTING_GOOSEBERRYLIFT_PLACEMENT_CANDIDATES_H_
 #define GOOSEBERRYLIFT_CORE_ROUTING_GOOSEBERRYLIFT_PLACEMENT_CANDIDATES_H_
@@ -10,13 +10,13 @@
 
 namespace gooseberrylift {
 
-/// Gives a time multiplied by a factor.
+/// Returns a time multiplied by a factor.
 std::chrono::microseconds Scaled(std::chrono::microseconds aTime,
                                  double aFactor);
 
-/// Gives those that were not tried and are not set aside; when there is none,
-/// those that were not tried; when there is none of these, all.
-std::vector<const PlacementCandidate*> BestOf(
+/// Returns the candidates of the best class that is not empty: neither tried
+/// nor set aside, then not tried, then all others.
+std::vector<const PlacementCandidate*> PreferredCandidates(
   const std::vector<PlacementCandidate>& aCandidates);
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-route-table.cc
+++ b/src/core/routing/gooseberrylift-route-table.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Host names are compared without case and without a port.
-std::string NormalHost(std::string_view aHost)
+// Removes the port and converts to lower case, since neither counts when hosts
+// are compared.
+std::string NormalizeHost(std::string_view aHost)
 {
   std::string host(aHost.substr(0, aHost.find(':')));
   std::transform(
@@ -38,7 +39,7 @@
   : document_(std::move(aDocument))
 {
   for (const Route& route : document_.routes_) {
-    byHost_[NormalHost(route.host_)].push_back(&route);
+    byHost_[NormalizeHost(route.host_)].push_back(&route);
     if (route.kind_ != RouteKind::kStreaming || route.maxGap_.count() == 0) {
       continue;
     }
@@ -69,7 +70,7 @@
 const Route* RouteTable::Match(std::string_view aHost,
                                std::string_view aPath) const
 {
-  const auto found = byHost_.find(NormalHost(aHost));
+  const auto found = byHost_.find(NormalizeHost(aHost));
   if (found == byHost_.end()) {
     return nullptr;
   }
@@ -94,7 +95,7 @@
 }
 
 const std::string& RouteTable::ChooseService(const Route& aRoute,
-                                             std::uint64_t aDraw)
+                                             std::uint64_t aRandom)
 {
   const auto weightOf = [](const RouteTarget& aTarget) {
     return static_cast<std::uint64_t>(std::max(aTarget.weight_, 0));
@@ -106,12 +107,12 @@
                     [&](std::uint64_t aSum, const RouteTarget& aTarget) {
                       return aSum + weightOf(aTarget);
                     });
-  std::uint64_t draw = total == 0 ? 0 : aDraw % total;
+  std::uint64_t offset = total == 0 ? 0 : aRandom % total;
   for (const RouteTarget& target : aRoute.targets_) {
-    if (draw < weightOf(target)) {
+    if (offset < weightOf(target)) {
       return target.service_;
     }
-    draw -= weightOf(target);
+    offset -= weightOf(target);
   }
   return aRoute.targets_.front().service_;
 }
--- a/src/core/routing/gooseberrylift-service-placement.cc
+++ b/src/core/routing/gooseberrylift-service-placement.cc
@@ -12,7 +12,7 @@
     static_cast<std::int64_t>(static_cast<double>(aTime.count()) * aFactor));
 }
 
-std::vector<const PlacementCandidate*> BestOf(
+std::vector<const PlacementCandidate*> PreferredCandidates(
   const std::vector<PlacementCandidate>& aCandidates)
 {
   std::vector<const PlacementCandidate*> best;
@@ -31,19 +31,19 @@
 }
 
 std::optional<PlacementChoice> ServicePlacement::Choose(
-  microseconds aUsual,
+  microseconds aTypicalTime,
   const std::vector<PlacementCandidate>& aCandidates,
   const PlacementRequest& aRequest) const
 {
   const PlacementCandidate* best = nullptr;
   double bestLoad = 0;
-  for (const PlacementCandidate* candidate : BestOf(aCandidates)) {
+  for (const PlacementCandidate* candidate : PreferredCandidates(aCandidates)) {
     const int slots = std::max(candidate->endpoint_->slots_, 1);
-    // A request under way in each slot is as much as the way to another zone
-    // costs only for the fastest services; half a request decides.
-    const double abroad =
+    // Half a request is the cost of another zone: a full one, in each slot,
+    // would match the extra round trip only for the fastest services.
+    const double crossZone =
       candidate->endpoint_->zone_ == aRequest.zone_ ? 0 : 0.5;
-    const double load = (candidate->load_.running_ + abroad) / slots;
+    const double load = (candidate->load_.running_ + crossZone) / slots;
     if (best == nullptr || load < bestLoad) {
       best = candidate;
       bestLoad = load;
@@ -53,11 +53,12 @@
     return std::nullopt;
   }
   const int slots = std::max(best->endpoint_->slots_, 1);
-  const int over = std::max(best->load_.running_ - slots + 1, 0);
-  return PlacementChoice{ .endpoint_ = best->endpoint_,
-                          .firstAnswer_ =
-                            aUsual + Scaled(aUsual, 1.0 * over / slots),
-                          .cost_ = { .read_ = aUsual } };
+  const int excess = std::max(best->load_.running_ - slots + 1, 0);
+  return PlacementChoice{
+    .endpoint_ = best->endpoint_,
+    .firstAnswer_ = aTypicalTime + Scaled(aTypicalTime, 1.0 * excess / slots),
+    .cost_ = { .read_ = aTypicalTime }
+  };
 }
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-urgency.cc
+++ b/src/core/routing/gooseberrylift-urgency.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-// Half of the ten classes is for each; operators use two or three priorities.
-constexpr int kClasses = 5;
+// The ten classes are split evenly between requests in time and deferred ones.
+// Five each are enough: operators use two or three priorities.
+constexpr int kClassesPerHalf = 5;
 
 } // namespace
 
 int UrgencyOf(int aPriority, bool aDeferred)
 {
-  const int urgency = std::clamp(aPriority, 0, kClasses - 1);
-  return aDeferred ? urgency + kClasses : urgency;
+  const int priorityClass = std::clamp(aPriority, 0, kClassesPerHalf - 1);
+  return aDeferred ? priorityClass + kClassesPerHalf : priorityClass;
 }
 
 } // namespace gooseberrylift
--- a/test/core/gooseberrylift-endpoint-directory-test.cc
+++ b/test/core/gooseberrylift-endpoint-directory-test.cc
@@ -17,12 +17,12 @@
     return { .id_ = aId, .service_ = "engines", .leaving_ = aLeaving };
   }
 
-  static ListedEndpoint Born(const std::string& aId,
-                             std::chrono::milliseconds aBorn,
-                             bool aLeaving = false)
+  static ListedEndpoint ListedAt(const std::string& aId,
+                                 std::chrono::milliseconds aStart,
+                                 bool aLeaving = false)
   {
     ListedEndpoint listed = Listed(aId, aLeaving);
-    listed.born_ = BirthTime(aBorn);
+    listed.born_ = BirthTime(aStart);
     return listed;
   }
 
@@ -32,7 +32,7 @@
   }
 };
 
-TEST(EndpointDirectoryTest, GivesOnlyWhatIsStillListed)
+TEST(EndpointDirectoryTest, ReturnsOnlyListedEndpoints)
 {
   for (const char* name : { "a", "b", "c" }) {
     directory_.OnListed(Listed(name));
@@ -42,72 +42,74 @@
   POINTERS_EQUAL(nullptr, directory_.Find("a"));
 }
 
-// Callers of an endpoint that leaves must go elsewhere at once. A late word of
-// its old state, such as a reading that began before, must not bring it back.
-TEST(EndpointDirectoryTest, NeverUsesAnEndpointAgainThatWasLeaving)
+// Guards against requests to an endpoint that is leaving. A delayed update of
+// its earlier state, for example from a read that began before, must not make
+// it usable again.
+TEST(EndpointDirectoryTest, KeepsALeavingEndpointUnusable)
 {
   directory_.OnListed(Listed("a", true));
   directory_.OnListed(Listed("a", false));
   LONGS_EQUAL(0, Usable());
 }
 
-// Callers must reach an engine that crashed while it was leaving and is back
-// under its id. The order: the former life is listed as leaving, the new one as
-// live, and a late word of the former life comes last. Why: leaving belongs to
-// one life, and a former life's word says nothing of the new one.
-TEST(EndpointDirectoryTest, UsesAnEndpointThatStartedAgainAfterItWasLeaving)
+// Guards against an engine that stays unusable after it crashed while leaving
+// and restarted under the same id. Events: the old incarnation is listed as
+// leaving, the new one as live, and a delayed update of the old one arrives
+// last. Leaving belongs to one incarnation only.
+TEST(EndpointDirectoryTest, UsesARestartedEndpointWhosePredecessorWasLeaving)
 {
-  directory_.OnListed(Born("a", 100ms, true));
-  CHECK_TRUE(directory_.OnListed(Born("a", 200ms)));
+  directory_.OnListed(ListedAt("a", 100ms, true));
+  CHECK_TRUE(directory_.OnListed(ListedAt("a", 200ms)));
   LONGS_EQUAL(1, Usable());
-  CHECK_FALSE(directory_.OnListed(Born("a", 100ms, true)));
+  CHECK_FALSE(directory_.OnListed(ListedAt("a", 100ms, true)));
   LONGS_EQUAL(1, Usable());
-  directory_.OnListed(Born("a", 200ms, true));
+  directory_.OnListed(ListedAt("a", 200ms, true));
   LONGS_EQUAL(0, Usable());
 }
 
-// The order: the entry lapses behind a cut, the engine starts again and lists
-// itself, and a host that was told by its answer that the former life is gone
-// must take the new one as new.
-TEST(EndpointDirectoryTest, TellsARebirthAlsoAfterTheEntryWasMissing)
+// Guards against a restart that is not detected. Events: the entry expires
+// during a network partition, an answer shows that the incarnation is gone, and
+// the restarted engine is listed again.
+TEST(EndpointDirectoryTest, DetectsARestartAfterTheEntryWasMissing)
 {
-  CHECK_FALSE(directory_.OnListed(Born("a", 100ms)));
+  CHECK_FALSE(directory_.OnListed(ListedAt("a", 100ms)));
   directory_.OnReplaced("a");
   directory_.OnRemoved("a", now_);
   LONGS_EQUAL(0, Usable());
-  CHECK_TRUE(directory_.OnListed(Born("a", 300ms)));
+  CHECK_TRUE(directory_.OnListed(ListedAt("a", 300ms)));
   LONGS_EQUAL(1, Usable());
 }
 
-// A word that was read before the rebirth and comes late brings the former life
-// back nowhere, nor does it drop the new one.
-TEST(EndpointDirectoryTest, TakesNothingFromALateWordOfAFormerLife)
+// Guards against a delayed update of the old incarnation that restores it or
+// drops the new one.
+TEST(EndpointDirectoryTest, IgnoresADelayedUpdateOfAnOlderIncarnation)
 {
-  directory_.OnListed(Born("a", 200ms));
-  CHECK_FALSE(directory_.OnListed(Born("a", 100ms, true)));
+  directory_.OnListed(ListedAt("a", 200ms));
+  CHECK_FALSE(directory_.OnListed(ListedAt("a", 100ms, true)));
   LONGS_EQUAL(1, Usable());
   LONGS_EQUAL(200, directory_.Find("a")->born_.time_since_epoch().count());
 }
 
-TEST(EndpointDirectoryTest, DropsAnEndpointWhoseAddressAnswersAsAnother)
+TEST(EndpointDirectoryTest,
+     DropsAnEndpointWhoseAddressAnswersAsAnotherIncarnation)
 {
   directory_.OnListed(Listed("a"));
   directory_.OnReplaced("a");
   LONGS_EQUAL(0, Usable());
 }
 
-TEST(EndpointDirectoryTest, DropsARemovedEntryAtOnceInCalmTimes)
+TEST(EndpointDirectoryTest, DropsARemovedEntryAtOnceWithoutAnOutage)
 {
   directory_.OnListed(Listed("a"));
   directory_.OnRemoved("a", now_);
   LONGS_EQUAL(0, Usable());
 }
 
-// What callers would see without the delay: for two seconds after each outage
-// of the store every request is refused, though all endpoints live. The order:
-// the store is down, the entries lapse, the store returns and lists nobody, the
-// endpoints list themselves again within two seconds.
-TEST(EndpointDirectoryTest, KeepsLapsedEntriesForAWhileAfterAnOutage)
+// Guards against two seconds of refused requests after each outage of the store
+// although all endpoints are alive. Events: the entries expire during the
+// outage, the store returns without them, and the endpoints are listed again
+// within two seconds.
+TEST(EndpointDirectoryTest, KeepsExpiredEntriesForAGracePeriodAfterAnOutage)
 {
   directory_.OnListed(Listed("a"));
   directory_.OnListed(Listed("b"));
@@ -126,7 +128,8 @@
   EndpointTrust trust_{ EndpointTrust::Options{} };
   TimePoint now_{ 1000s };
 
-  void Note(const std::string& aId, EndpointOutcome aOutcome, int aTimes)
+  void RecordOutcomes(
+    const std::string& aId, EndpointOutcome aOutcome, int aTimes)
   {
     for (int count = 0; count < aTimes; ++count) {
       trust_.OnOutcome(aId, aOutcome, now_);
@@ -134,38 +137,38 @@
   }
 };
 
-TEST(EndpointTrustTest, RestsAnEndpointThatCannotBeReachedForLongerEachTime)
+TEST(EndpointTrustTest, DoublesTheEjectionOfAnUnreachableEndpoint)
 {
-  Note("a", EndpointOutcome::kUnreachable, 1);
+  RecordOutcomes("a", EndpointOutcome::kUnreachable, 1);
   CHECK_TRUE(trust_.IsSetAside("a", now_ + 400ms));
   CHECK_FALSE(trust_.IsSetAside("a", now_ + 600ms));
-  Note("a", EndpointOutcome::kUnreachable, 1);
+  RecordOutcomes("a", EndpointOutcome::kUnreachable, 1);
   CHECK_TRUE(trust_.IsSetAside("a", now_ + 900ms));
 }
 
-// One endpoint fails half of its requests while its fellows serve: it goes
-// aside. When all of them fail as often, the cause lies elsewhere, and setting
-// them all aside would leave nobody.
-TEST(EndpointTrustTest, SetsAsideOnlyWhatFailsMoreThanItsFellows)
+// An endpoint that fails while the others serve is ejected. If all endpoints
+// fail as often, the cause lies elsewhere, and ejecting all of them would leave
+// none.
+TEST(EndpointTrustTest, EjectsOnlyAnEndpointThatFailsMoreThanTheOthers)
 {
-  Note("good", EndpointOutcome::kServed, 200);
-  Note("bad", EndpointOutcome::kFailed, 3);
+  RecordOutcomes("good", EndpointOutcome::kServed, 200);
+  RecordOutcomes("bad", EndpointOutcome::kFailed, 3);
   CHECK_TRUE(trust_.IsSetAside("bad", now_));
   CHECK_FALSE(trust_.IsSetAside("good", now_));
-  Note("good", EndpointOutcome::kFailed, 300);
+  RecordOutcomes("good", EndpointOutcome::kFailed, 300);
   now_ += 10s;
-  Note("other", EndpointOutcome::kFailed, 3);
+  RecordOutcomes("other", EndpointOutcome::kFailed, 3);
   CHECK_FALSE(trust_.IsSetAside("other", now_));
 }
 
-TEST(EndpointTrustTest, HoldsNoRefusalInGoodOrderAgainstAnEndpoint)
+TEST(EndpointTrustTest, DoesNotCountRefusalsAsFailures)
 {
-  Note("a", EndpointOutcome::kRefused, 50);
+  RecordOutcomes("a", EndpointOutcome::kRefused, 50);
   CHECK_FALSE(trust_.IsSetAside("a", now_));
 }
 
 // Guards against requests to endpoints of an evacuated zone.
-TEST(EndpointDirectoryTest, UsesNoEndpointOfAZoneUntilItsEvacuationEnds)
+TEST(EndpointDirectoryTest, ExcludesAZoneUntilItsEvacuationEnds)
 {
   ListedEndpoint inZone = Listed("a");
   inZone.zone_ = "zone-a";
--- a/test/core/gooseberrylift-fleet-load-test.cc
+++ b/test/core/gooseberrylift-fleet-load-test.cc
@@ -17,13 +17,13 @@
   }
 };
 
-TEST(FleetLoadTest, CountsAReadUntilItsFirstToken)
+TEST(FleetLoadTest, CountsPrefillUntilTheFirstToken)
 {
   load_.OnSent("engine", 1, { .read_ = 800ms }, now_);
   now_ += 300ms;
   LONGS_EQUAL(500, BacklogMs());
   now_ += 5s;
-  LONGS_EQUAL(400, BacklogMs()); // not read yet, whatever was predicted
+  LONGS_EQUAL(400, BacklogMs()); // no first token yet, whatever was predicted
   load_.OnStarted("engine", 1, now_);
   LONGS_EQUAL(0, BacklogMs());
   LONGS_EQUAL(1, load_.Of("engine", now_).running_);
@@ -31,7 +31,7 @@
   LONGS_EQUAL(0, load_.Of("engine", now_).running_);
 }
 
-TEST(FleetLoadTest, AddsThePeersAndForgetsThoseThatFellSilent)
+TEST(FleetLoadTest, AddsThePeersAndDropsThoseWithoutMessages)
 {
   load_.OnPeer(
     "peer", { { .id_ = "engine", .running_ = 3, .tight_ = 2 } }, now_);
@@ -40,24 +40,26 @@
   LONGS_EQUAL(0, load_.Of("engine", now_ + 3s).running_);
 }
 
-TEST(FleetLoadTest, KeepsTheNewerOfTwoWords)
+TEST(FleetLoadTest, KeepsTheNewerOfTwoMessages)
 {
   load_.OnPeer("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
   load_.OnPeer("peer", { { .id_ = "engine", .running_ = 9 } }, now_ - 1s);
   LONGS_EQUAL(3, load_.Of("engine", now_).running_);
 }
 
-// A prompt read by several engines holds memory at its helpers until it ends,
-// but takes no slot there.
+// A prompt that several engines prefill occupies memory at its helpers until it
+// ends, but no slot there.
 TEST(FleetLoadTest, CountsAHelperAsMemoryOnly)
 {
-  load_.OnSent(
-    "engine", 1, { .memoryTokens_ = 500, .read_ = 1s, .helping_ = true }, now_);
+  load_.OnSent("engine",
+               1,
+               { .memoryTokens_ = 500, .read_ = 1s, .isHelper_ = true },
+               now_);
   LONGS_EQUAL(0, load_.Of("engine", now_).running_);
   LONGS_EQUAL(500, load_.Of("engine", now_).memoryTokens_);
 }
 
-TEST(FleetLoadTest, TellsForHowLongAnEndpointWasSilent)
+TEST(FleetLoadTest, ReturnsForHowLongAnEndpointWasSilent)
 {
   LONGS_EQUAL(0, load_.SilentFor("engine", now_).count());
   load_.OnSent("engine", 1, {}, now_);
@@ -66,9 +68,9 @@
   LONGS_EQUAL(100, load_.SilentFor("engine", now_ + 700ms).count());
 }
 
-// Two requests of this host wait at an engine, and the later one is answered
-// first: the earlier one has been lost there.
-TEST(FleetLoadTest, TellsThatALaterRequestWasBegunFirst)
+// Of two requests of this host that wait at an engine, the later one is
+// answered first: the engine has lost the earlier one.
+TEST(FleetLoadTest, DetectsThatALaterRequestWasStartedFirst)
 {
   load_.OnSent("engine", 1, {}, now_);
   load_.OnSent("engine", 2, {}, now_ + 1ms);
@@ -78,7 +80,7 @@
   CHECK_FALSE(load_.IsOvertaken("engine", 2));
 }
 
-TEST(FleetLoadTest, DoesNotTakeADeferredRequestForOvertakenByOthers)
+TEST(FleetLoadTest, DoesNotReportADeferredRequestAsOvertakenByOthers)
 {
   load_.OnSent("engine", 1, { .deferred_ = true }, now_);
   load_.OnSent("engine", 2, {}, now_ + 1ms);
@@ -86,10 +88,10 @@
   load_.OnStarted("engine", 2, now_ + 50ms);
   CHECK_FALSE(load_.IsOvertaken("engine", 1));
   load_.OnStarted("engine", 1, now_ + 60ms);
-  LONGS_EQUAL(0, load_.Of("engine", now_).deferred_); // it waits no more
+  LONGS_EQUAL(0, load_.Of("engine", now_).deferred_); // no longer waiting
 }
 
-TEST(FleetLoadTest, TellsForHowLongAnEndpointWasSilentToPeers)
+TEST(FleetLoadTest, ReturnsForHowLongAnEndpointWasSilentToPeers)
 {
   CHECK_FALSE(load_.SilentToPeersFor("engine", now_).has_value());
   load_.OnPeer("one", { { .id_ = "engine", .silent_ = 900ms } }, now_);
@@ -98,7 +100,7 @@
   CHECK_FALSE(load_.SilentToPeersFor("engine", now_ + 3s).has_value());
 }
 
-TEST(FleetLoadTest, TakesAnEndForNoSignOfLife)
+TEST(FleetLoadTest, DoesNotCountAnEndAsReceivedData)
 {
   load_.OnSent("engine", 1, {}, now_);
   load_.OnSent("engine", 2, {}, now_);
@@ -106,7 +108,7 @@
   LONGS_EQUAL(700, load_.SilentFor("engine", now_ + 700ms).count());
 }
 
-TEST(FleetLoadTest, AddsTheRestOfAPeersWord)
+TEST(FleetLoadTest, AddsFurtherPartsOfAPeersSnapshot)
 {
   load_.OnPeer("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
   load_.OnMoreOfPeer("peer", { { .id_ = "other", .running_ = 2 } });
--- a/test/core/gooseberrylift-fleet-view-test.cc
+++ b/test/core/gooseberrylift-fleet-view-test.cc
@@ -19,13 +19,13 @@
   FleetView view_{ FleetView::Options{}, start_ };
 };
 
-TEST(FleetViewTest, ExpectsOthersForAWhileAfterItsStart)
+TEST(FleetViewTest, ExpectsPeersForAWhileAfterItsStart)
 {
   CHECK_TRUE(view_.IsBlind(start_ + 500ms));
-  CHECK_FALSE(view_.IsBlind(start_ + 2s)); // it is alone
+  CHECK_FALSE(view_.IsBlind(start_ + 2s)); // no peers were found
 }
 
-TEST(FleetViewTest, SeesFromTheFirstWordOn)
+TEST(FleetViewTest, KnowsThePeerLoadFromTheFirstMessage)
 {
   view_.OnPeersKnown(8);
   CHECK_TRUE(view_.IsBlind(start_ + 5s));
@@ -36,9 +36,9 @@
 
 namespace {
 
-// Nine hosts that know nothing of each other place eight short requests each on
-// 18 engines.
-int MostAtOneEngine(bool aBlind)
+// Places eight short requests from each of nine hosts, which know nothing of
+// each other, on 18 engines. Returns the largest number at one engine.
+int MaxRequestsPerEngine(bool aPeerLoadUnknown)
 {
   std::vector<ListedEndpoint> engines;
   constexpr int kEngines = 18;
@@ -46,7 +46,7 @@
   for (int index = 0; index < kEngines; ++index) {
     engines.push_back({ .id_ = std::to_string(index), .slots_ = 16 });
   }
-  const EngineFigures figures{ .slots_ = 16,
+  const EngineFigures profile{ .slots_ = 16,
                                .stepMs_ = 1,
                                .readTokensPerMs_ = 250,
                                .stride_ = 46,
@@ -55,7 +55,7 @@
                             .answerTokens_ = 1'500,
                             .objective_ = 300ms,
                             .maxGap_ = 200ms,
-                            .blind_ = aBlind };
+                            .blind_ = aPeerLoadUnknown };
   const EnginePlacement placement{ EnginePlacement::Options{} };
   std::map<std::string, int> sent;
   std::mt19937_64 random(1);
@@ -71,7 +71,7 @@
                                .load_ = load.Of(engine.id_, TimePoint{ 1s }) });
       }
       const auto choice = placement.Choose(
-        figures, { .shortest_ = 200ms, .next_ = 500ms }, candidates, request);
+        profile, { .shortest_ = 200ms, .next_ = 500ms }, candidates, request);
       load.OnSent(
         choice->endpoint_->id_, number, choice->cost_, TimePoint{ 1s });
       ++sent[choice->endpoint_->id_];
@@ -86,11 +86,11 @@
 
 } // namespace
 
-// All hosts are back from a power cut and their callers are there at once. What
-// callers see: with a full engine, a wait of a second; with none, no wait. Each
-// host that takes itself for alone fills the first engines of the order.
-TEST(FleetViewTest, SpreadsShortRequestsWhileHostsDoNotKnowOfEachOther)
+// Guards against full engines, where callers wait a second, after all hosts
+// restart together from a power failure. Hosts that assumed that they are alone
+// would all fill the first engines of the order.
+TEST(FleetViewTest, SpreadsShortRequestsWhilePeerLoadIsUnknown)
 {
-  CHECK_TRUE(MostAtOneEngine(false) > 16);
-  CHECK_TRUE(MostAtOneEngine(true) <= 14);
+  CHECK_TRUE(MaxRequestsPerEngine(false) > 16);
+  CHECK_TRUE(MaxRequestsPerEngine(true) <= 14);
 }
--- a/test/core/gooseberrylift-route-table-test.cc
+++ b/test/core/gooseberrylift-route-table-test.cc
@@ -48,7 +48,7 @@
   POINTERS_EQUAL(nullptr, table.TeamByKey(""));
 }
 
-TEST(RouteTableTest, LetsNobodyInWithAnEmptyListOfTeams)
+TEST(RouteTableTest, RejectsAllKeysWithAnEmptyListOfTeams)
 {
   document_.teams_.emplace();
   const RouteTable table(document_);
@@ -56,7 +56,7 @@
   POINTERS_EQUAL(nullptr, table.TeamByKey("k1"));
 }
 
-TEST(RouteTableTest, SharesRequestsByWeight)
+TEST(RouteTableTest, DistributesRequestsByWeight)
 {
   Route route = RouteAt("split", "/s/");
   route.targets_ = { { .service_ = "old", .weight_ = 90 },
@@ -72,7 +72,7 @@
   LONGS_EQUAL(100, counts[2]);
 }
 
-TEST(RouteTableTest, GivesTheTwoShortestGapsOfAService)
+TEST(RouteTableTest, ReturnsTheTwoShortestGapsOfAService)
 {
   for (Route& route : document_.routes_) {
     route.kind_ = RouteKind::kStreaming;
