--- a/include/gooseberrylift/limits/gooseberrylift-crash-suspects.h
+++ b/include/gooseberrylift/limits/gooseberrylift-crash-suspects.h
@@ -1,7 +1,7 @@
-// Finds requests that end the endpoints which run them. The load it answers: a
-// request whose content crashes engines and which its caller sends again and
-// again, to any host. Without it each return costs two more engines, and with
-// them all that they were at work on.
+// Detects and quarantines poison requests: requests whose content crashes the
+// endpoints that run them. A caller may retry such a request at any host, and
+// without the quarantine each retry crashes two more engines and aborts
+// everything that they are running.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_CRASH_SUSPECTS_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_CRASH_SUSPECTS_H_
@@ -17,20 +17,23 @@
 
 namespace gooseberrylift {
 
-/// Gives the fingerprint of a request: what is the same each time it comes.
+/// Returns a hash of a request that is the same for each of its retries, as 16
+/// hexadecimal digits.
 std::string FingerprintOf(std::string_view aTarget,
                           std::string_view aCaller,
                           std::string_view aBody);
 
-// Counts the endpoints that ended while they ran a request. That an endpoint
-// broke off is no proof of its end: answers get lost while it lives, and a good
-// request that lost two of them must not be refused for minutes. So a broken
-// request counts against an endpoint only once that has been shown to have
-// ended at about that time. Two such endpoints quarantine a request: the crash
-// of one breaks off all that it runs and says nothing of any of them, but that
-// the next one ends as well just then is rare. Where several requests share the
-// same two, which all fell with the guilty one, the third end decides. Entries
-// go to all hosts. Not thread-safe.
+// Counts, for each request, the endpoints that crashed while they ran it. A
+// lost connection alone is no evidence of a crash: responses also get lost
+// while the endpoint keeps running, and a harmless request that loses two of
+// them must not be rejected for minutes. A lost connection therefore counts
+// only once the endpoint is confirmed to have exited at about the same time.
+//
+// Two such endpoints quarantine a request. The crash of one aborts all requests
+// that it runs and doesn't tell which one caused it, but a second crash under
+// the same request is rarely a coincidence. If several requests share the same
+// two crashes, a third one identifies the cause. Quarantine entries are sent to
+// all hosts. Not thread-safe.
 class CrashSuspects
 {
 public:
@@ -38,18 +41,22 @@
 
   struct Options
   {
-    std::size_t endpoints_ = 2; // that a request must have ended
-    // The same where other requests were broken off at the same endpoints.
-    std::size_t endpointsIfShared_ = 3;
-    // Within this time. Crashed endpoints are back after some seconds, and
-    // callers send again at once.
-    std::chrono::seconds within_{ 30 };
-    // Between a break and the proof of the end, in either order: a refused
-    // connection shows it within 0.1 s, a new start after some seconds.
-    std::chrono::seconds proofWithin_{ 6 };
-    // A request does not get better by itself; its sender has to change it.
-    std::chrono::seconds quarantine_{ 600 };
-    std::size_t most_ = 256; // fingerprints kept; the oldest make room
+    // Endpoints that must crash under a request before it is quarantined.
+    std::size_t crashThreshold_ = 2;
+    // The same threshold if another request ran on all of these endpoints too.
+    std::size_t sharedCrashThreshold_ = 3;
+    // The crashes must fall within this time. Crashed endpoints are back after
+    // some seconds, and callers retry at once.
+    std::chrono::seconds observationWindow_{ 30 };
+    // Maximum time between a lost connection and the confirmation that the
+    // endpoint exited, in either order: a refused connection confirms it within
+    // 0.1 s, a restart after some seconds.
+    std::chrono::seconds confirmationWindow_{ 6 };
+    // Long, because a retry with the same content would crash endpoints again;
+    // the caller has to change the request.
+    std::chrono::seconds quarantineTime_{ 600 };
+    // Fingerprints kept; the oldest are evicted first.
+    std::size_t maxEntries_ = 256;
   };
 
   explicit CrashSuspects(Options aOptions)
@@ -57,47 +64,47 @@
   {
   }
 
-  /// Notes that an endpoint broke off a request.
-  /// @return true when that puts the request under quarantine
+  /// Records that the connection to an endpoint broke while it ran a request.
+  /// @return true if the request is quarantined as a result
   bool OnBroken(const std::string& aFingerprint,
                 const std::string& aEndpoint,
                 WallTime aNow);
 
-  /// Notes a proof that an endpoint ended a moment ago: nobody listens at its
-  /// address, or it has started again.
-  /// @return the requests that this puts under quarantine
+  /// Records the confirmation that an endpoint has just exited: its address
+  /// refuses connections, or it has restarted.
+  /// @return the fingerprints of the requests that are quarantined as a result
   std::vector<std::string> OnEnded(const std::string& aEndpoint, WallTime aNow);
 
-  /// Says whether a request is to be refused.
+  /// Returns whether a request must be rejected.
   bool IsQuarantined(const std::string& aFingerprint, WallTime aNow) const;
 
-  /// Takes in what a peer has under quarantine.
+  /// Merges the quarantine entries of a peer.
   void OnPeer(const std::vector<QuarantineEntry>& aEntries);
 
-  /// Gives what is under quarantine, for the peers.
+  /// Returns the current quarantine entries, which are sent to the peers.
   std::vector<QuarantineEntry> Entries(WallTime aNow) const;
 
 private:
-  struct Break
+  struct LostConnection
   {
     WallTime at_{};
-    bool ended_ = false; // the endpoint has been shown to have ended
+    bool crashed_ = false; // the endpoint is confirmed to have exited
   };
   struct Suspect
   {
-    std::map<std::string, Break> breaks_; // by endpoint
-    WallTime first_{};
+    std::map<std::string, LostConnection> lostConnections_; // by endpoint
+    WallTime firstLost_{};
   };
 
-  std::set<std::string> EndedBy(const Suspect& aSuspect) const;
-  bool IsShared(const std::string& aFingerprint,
-                const std::set<std::string>& aEnded) const;
-  bool Judge(const std::string& aFingerprint, WallTime aNow);
+  std::set<std::string> ConfirmedCrashes(const Suspect& aSuspect) const;
+  bool HasSameCrashes(const std::string& aFingerprint,
+                      const std::set<std::string>& aCrashed) const;
+  bool QuarantineIfConfirmed(const std::string& aFingerprint, WallTime aNow);
 
   Options options_;
   std::map<std::string, Suspect> suspects_;    // by fingerprint
-  std::map<std::string, WallTime> ended_;      // by endpoint, when proven last
-  std::map<std::string, WallTime> quarantine_; // by fingerprint, until when
+  std::map<std::string, WallTime> lastExits_;  // by endpoint
+  std::map<std::string, WallTime> quarantine_; // by fingerprint, expiry
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/limits/gooseberrylift-endpoint-rates.h
+++ b/include/gooseberrylift/limits/gooseberrylift-endpoint-rates.h
@@ -1,7 +1,8 @@
-// What endpoints say of the rate that they take from all hosts together. The
-// load it answers: an endpoint in need names a limit to whichever host it
-// answers. A host that goes only by what it was told itself learns the limit
-// late, and never hears of its end while it sends nothing there.
+// Rate limits that endpoints announce in their responses. A limit applies to
+// all hosts together, but an overloaded endpoint announces it only to the host
+// that it responds to. A host that relied on its own responses would learn a
+// limit late, and would never learn that it was lifted while it sends nothing
+// there.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATES_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATES_H_
@@ -18,21 +19,21 @@
 
 namespace gooseberrylift {
 
-// Keeps one entry for each incarnation that has ever named a limit. A limit
-// stays until an answer lacks it, however long nothing is heard: an endpoint
-// that was relieved too early is flooded again. Not thread-safe.
+// Keeps one entry for each incarnation that has ever announced a limit. A limit
+// applies until a response comes without one, however long that takes: lifting
+// it too early would overload the endpoint again. Not thread-safe.
 class EndpointRates
 {
 public:
   struct Options
   {
-    // An entry is dropped when its endpoint was not listed for so long.
-    // Listings lapse for some seconds while the store is away.
-    std::chrono::milliseconds keep_{ 60'000 };
-    // A rate that differs by no more than this part of the known one is no
-    // change. Each change is told to other hosts at once, and an endpoint may
-    // name another rate in each answer.
-    double sameShare_ = 0.1;
+    // An entry is removed after its endpoint was unlisted for this long.
+    // Endpoints are unlisted for some seconds while the store is unavailable.
+    std::chrono::milliseconds retention_{ 60'000 };
+    // A rate within this fraction of the current one doesn't count as a change:
+    // each change is sent to other hosts immediately, and an endpoint may
+    // announce a different rate in each response.
+    double changeTolerance_ = 0.1;
   };
 
   using IsListed = std::function<bool(const Incarnation& aEndpoint)>;
@@ -42,53 +43,54 @@
   {
   }
 
-  /// Takes in what an answer says.
-  /// @param aSent when its request was sent. An answer to one from before the
-  /// limit was learnt may itself be from before it, and does not end it.
-  /// @return the entry, if it has changed
+  /// Processes the notice in a response.
+  /// @param aSent when the request was sent. If that was before the limit was
+  /// last reported, the response may predate the limit and doesn't lift it.
+  /// @return the entry, if it changed
   std::optional<EndpointRate> OnAnswer(const Incarnation& aEndpoint,
                                        const RateNotice& aNotice,
                                        TimePoint aSent,
                                        TimePoint aNow);
 
-  /// Takes in what a peer knows of endpoints that are listed here; the others
-  /// would be told from host to host for ever.
-  /// @return the entries that have changed
+  /// Merges a peer's entries for endpoints that are listed here. Hosts would
+  /// pass entries of unlisted endpoints on to each other forever.
+  /// @return the entries that changed
   std::vector<EndpointRate> OnPeer(const std::vector<EndpointRate>& aEntries,
                                    const IsListed& aIsListed,
                                    TimePoint aNow);
 
-  /// Gives what is known of an endpoint; nothing when it never had a limit.
+  /// Returns the entry of an endpoint; nothing if it never announced a limit.
   std::optional<EndpointRate> Find(const Incarnation& aEndpoint) const;
 
-  /// Says whether any endpoint has a limit.
+  /// Returns whether any endpoint has a limit.
   bool HasLimits() const;
 
-  /// Gives an endpoint's limit in requests a second.
-  /// @return nothing when it has none
+  /// Returns an endpoint's limit in requests per second; nothing if it has
+  /// none.
   std::optional<double> Of(const Incarnation& aEndpoint) const;
 
-  /// Gives all entries, for the peers.
+  /// Returns all entries, which are sent to the peers.
   std::vector<EndpointRate> Entries() const;
 
-  /// Drops what is no longer listed; called now and then.
-  /// @return what was dropped
+  /// Removes endpoints that have been unlisted for too long; called
+  /// periodically.
+  /// @return the removed endpoints
   std::vector<Incarnation> Sweep(const IsListed& aIsListed, TimePoint aNow);
 
 private:
-  struct Known
+  struct LimitState
   {
     std::uint64_t version_ = 0;
     std::optional<double> perSecond_;
-    TimePoint learnt_{}; // when the limit was last named or told
-    TimePoint listed_{}; // when the endpoint was last seen in the list
+    TimePoint lastReported_{}; // by a response or a peer
+    TimePoint lastListed_{};   // when the endpoint was last listed
   };
 
-  bool IsSame(const std::optional<double>& aKnown,
-              const std::optional<double>& aNamed) const;
+  bool IsUnchanged(const std::optional<double>& aCurrent,
+                   const std::optional<double>& aReported) const;
 
   Options options_;
-  std::map<Incarnation, Known> known_;
+  std::map<Incarnation, LimitState> limits_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/limits/gooseberrylift-long-hold.h
+++ b/include/gooseberrylift/limits/gooseberrylift-long-hold.h
@@ -1,9 +1,9 @@
-// Decides when a long prompt goes to its engines. The load it answers: bursts
-// of long prompts that ask for more reading than the fleet can do. Sent at
-// once, all of them queue up inside the engines, where each stretches the
-// passes of the others and of every short request, for seconds after the burst
-// has ended. Held here they wait as long, but disturb nobody, and the shorter
-// ones, which are worth more for their reading, go first.
+// Decides when a long prompt is sent to its engines. A burst of long prompts
+// can need more prefill than the fleet has capacity for. If they were all sent
+// immediately, they would queue up inside the engines, where each one lengthens
+// the batch steps of the others and of every short request, for seconds after
+// the burst. Held at this host they wait as long but slow nothing else down,
+// and the shorter ones, which have more value per prefill time, are sent first.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_HOLD_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_HOLD_H_
@@ -12,65 +12,66 @@
 
 namespace gooseberrylift {
 
-// What is known of a long prompt that might be sent now.
+// The state of a long prompt that could be sent now.
 struct HoldQuestion
 {
-  // At its engines, before its read, with a share of the harm to others there.
+  // Wait at its engines before its prefill starts, plus a share of the delay
+  // that it would cause to other requests there.
   std::chrono::microseconds wait_{ 0 };
-  std::chrono::microseconds read_{ 0 };      // on one engine
-  std::chrono::microseconds part_{ 0 };      // that one of its engines reads
+  std::chrono::microseconds read_{ 0 };      // prefill time on a single engine
+  std::chrono::microseconds part_{ 0 };      // the part of one of its engines
   std::chrono::milliseconds waited_{ 0 };    // since it arrived
   std::chrono::milliseconds remaining_{ 0 }; // until its deadline
-  std::chrono::milliseconds patience_{ 0 };  // silence that its caller bears
-  std::chrono::milliseconds objective_{ 0 }; // for the first answer
-  bool blind_ = false; // the wait is known without other hosts' requests
+  std::chrono::milliseconds patience_{ 0 };  // caller's stall timeout
+  std::chrono::milliseconds objective_{ 0 }; // for the first token
+  bool blind_ = false; // wait_ doesn't include the requests of other hosts
 };
 
 struct HoldOptions
 {
-  // The wait at its engines, with a share of the harm that it would do there,
-  // with which a prompt that reads for a second is sent; more for shorter ones
-  // and less for longer ones. With more the engines' queues grow again, with
-  // less they run dry.
+  // The wait at its engines, as in HoldQuestion, up to which a prompt with a
+  // prefill of one second is sent. It is scaled up for shorter prompts and down
+  // for longer ones. Higher values let the engines' queues grow again, lower
+  // ones leave engines idle.
   std::chrono::milliseconds allowedWait_{ 400 };
-  // Bounds of that scaling.
+  // Bounds of the scaling factor.
   double leastFactor_ = 0.15;
   double mostFactor_ = 2;
-  // After this share of what its caller bears, less its own reads below, a
-  // prompt is sent or given up. Sooner, prompts go into full engines that could
-  // still have waited; later, more of them come too late for their callers.
+  // After this share of the time that its caller waits, less ownRead_ prefills,
+  // a prompt is sent or rejected. Lower values send prompts to busy engines
+  // that could still have waited; with higher ones more prompts miss their
+  // callers' timeouts.
   double latestShare_ = 0.9;
-  // A host that knows nothing of the others waits for their word for this part
-  // of the objective: they are there within a quarter of a second after a
-  // start. Sent at once, all prompts that come back after a power cut go to the
-  // same engines, and short requests wait behind them.
-  double blindShare_ = 0.2;
-  // The same allowed wait of a prompt that misses its objective in any case: it
-  // lets those go first that need not. With none, more of the late ones come
-  // too late for their callers.
+  // A host that doesn't know the load of the others holds prompts for this
+  // share of the objective: load reports arrive within a quarter of a second
+  // after a start. Otherwise all prompts that are retried after a power outage
+  // would go to the same engines, and short requests would wait behind them.
+  double blindHoldShare_ = 0.2;
+  // Factor on the allowed wait of a prompt that will miss its objective anyway,
+  // so that prompts that can still meet theirs are sent first. With zero, more
+  // of the late prompts miss their callers' timeouts.
   double lateFactor_ = 0.25;
-  // The reads of its own part that are kept free of that time: sent then, it
-  // still comes in time. Without it the largest prompts are held until they
-  // can't come any more, and then refused with hardly a second left to return
-  // in.
+  // Prefills of its own part that are reserved at the end of the hold, so that
+  // a prompt sent then still completes in time. Without it, the largest prompts
+  // are held until they can't complete any more, and then rejected with hardly
+  // a second left for a retry.
   double ownRead_ = 1;
-  // The wait with which it is sent then. With more it goes back to its caller,
-  // who may return when the burst is over: sent whatever the wait, it makes a
-  // hundred short requests late.
+  // The wait up to which a prompt is sent at the end of the hold. Above it, the
+  // prompt is rejected, and its caller may retry after the burst. Sending it
+  // regardless of the wait makes a hundred short requests late.
   std::chrono::milliseconds lastWait_{ 150 };
-  std::chrono::milliseconds step_{ 40 }; // until it is looked at again
+  std::chrono::milliseconds step_{ 40 }; // until the next decision
 };
 
 enum class HoldVerdict
 {
   kSend,
-  kHold,  // look at it again after HoldOptions::step_
-  kGiveUp // it can't come in time any more, or only at the cost of others
+  kHold,  // decide again after HoldOptions::step_
+  kGiveUp // it can't complete in time, or only by delaying other requests
 };
 
-/// Judges a long prompt.
-HoldVerdict HoldLong(const HoldQuestion& aQuestion,
-                     const HoldOptions& aOptions);
+/// Decides whether a long prompt is sent now, held or rejected.
+HoldVerdict HoldLong(const HoldQuestion& aInput, const HoldOptions& aOptions);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/limits/gooseberrylift-patience.h
+++ b/include/gooseberrylift/limits/gooseberrylift-patience.h
@@ -1,8 +1,7 @@
-// How long a silence is borne: by callers, and so by this host at an endpoint.
-// The load it answers: endpoints that hang, freeze or die without a word, and
-// engines that are merely slow under load. Given up too early, a request at
-// work is run twice and an overload doubles itself; too late, its caller has
-// left.
+// Stall timeouts of callers and endpoints. An endpoint that sends nothing may
+// hang, have frozen or have died, or it may only be slow under load. If a
+// request is moved to another endpoint too early, it runs twice and doubles the
+// overload; if too late, its caller has disconnected.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_PATIENCE_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_PATIENCE_H_
@@ -14,39 +13,47 @@
 
 namespace gooseberrylift {
 
-/// Gives the silence after which a caller leaves a stream, before its first
-/// event or between two: the longest of two seconds, four times the objective
-/// and eight times the longest gap, as callers of this fleet are known to do.
+/// Returns the time without an event, before the first one or between two,
+/// after which a caller abandons a stream. Callers of this fleet are known to
+/// wait for the longest of two seconds, four times the objective and eight
+/// times the longest gap. For other routes, returns the route's timeout.
 std::chrono::milliseconds CallerPatience(const Route& aRoute);
 
-/// Gives the silence of an endpoint after which a request that may be repeated
-/// is better sent elsewhere: of a stream, half of what the caller bears, so
-/// that the other half is left for the second try. The time that was predicted
-/// is left out on purpose: predictions are off most when a fleet is busy, and a
-/// limit that follows them has many requests read twice just then.
+/// Returns the time without data from an endpoint after which a retryable
+/// request should be sent to another endpoint. For streams this is half of the
+/// caller's stall timeout, which leaves the other half for the retry. It
+/// deliberately ignores the predicted time: predictions are least accurate when
+/// the fleet is busy, and a timeout based on them would repeat the prefill of
+/// many requests just then.
 std::chrono::milliseconds SilenceLimit(const Route& aRoute);
 
-// What is known of an endpoint that owes a request its answer, or more of it.
+// When an endpoint last sent data, and its load, from the view of a request
+// that waits for its response or for more of it.
 struct EndpointSigns
 {
-  std::chrono::milliseconds silentHere_{ 0 }; // to this request
-  std::chrono::milliseconds silent_{ 0 };     // to all requests of this host
-  // To those of other hosts; nothing when they have none there.
+  // Time since it last sent data to this request, and to any request of this
+  // host.
+  std::chrono::milliseconds silentHere_{ 0 };
+  std::chrono::milliseconds silent_{ 0 };
+  // The same for requests of other hosts; nothing if they have none there.
   std::optional<std::chrono::milliseconds> silentToPeers_;
-  bool begun_ = false;     // it sent a part of this request's answer
-  bool overtaken_ = false; // it began to answer one that was sent later
-  std::chrono::milliseconds backlog_{ 0 }; // to be read there
-  int running_ = 0;                        // requests at work or waiting there
-  int slots_ = 1;                          // that it runs at once
+  bool begun_ = false; // it has sent a part of this request's response
+  // It has begun to answer a request that was sent later.
+  bool overtaken_ = false;
+  std::chrono::milliseconds backlog_{ 0 }; // queued prefill time
+  int running_ = 0;                        // running or queued requests
+  int slots_ = 1;                          // for concurrent requests
 };
 
-/// Says whether a request that has waited for the silence limit hangs, and is
-/// better sent elsewhere. At an endpoint that answers others and whose slots
-/// are taken it merely waits its turn, and while an engine reads a long prompt
-/// nobody hears anything. Sent elsewhere the request would wait again, and what
-/// was read of it is lost, so that an overload of full slots keeps itself up.
-/// @param aLimit the silence limit
-bool LooksHung(const EndpointSigns& aSigns, std::chrono::milliseconds aLimit);
+/// Returns whether a request that has waited for the stall timeout is stalled
+/// and should be sent to another endpoint. It is only queued if the endpoint
+/// answers other requests and its slots are in use, and an engine sends nothing
+/// to any request while it prefills a long prompt. Sent elsewhere, the request
+/// would queue again and lose its prefill, and so an overload would sustain
+/// itself.
+/// @param aLimit the endpoint's stall timeout
+bool LooksHung(const EndpointSigns& aActivity,
+               std::chrono::milliseconds aLimit);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/limits/gooseberrylift-rate-granter.h
+++ b/include/gooseberrylift/limits/gooseberrylift-rate-granter.h
@@ -1,8 +1,7 @@
-// Shares out the rate that an endpoint takes from all hosts together. The load
-// it answers: many hosts before an endpoint that takes a request or two a
-// second. Were each host to send its even part, most of the rate would lie with
-// hosts that have no request for it, and hosts that count each other
-// differently would exceed it.
+// Distributes an endpoint's rate limit over the hosts as permits, on demand. An
+// even split doesn't work for an endpoint that accepts a request or two per
+// second: most of the rate would go to hosts that have no request for it, and
+// hosts that disagree about the number of hosts would exceed the limit.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_RATE_GRANTER_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_RATE_GRANTER_H_
@@ -17,40 +16,42 @@
 
 namespace gooseberrylift {
 
-// What a host that asks for permits gets.
+// The response to a host that requests permits.
 struct RateVerdict
 {
-  int permits_ = 0;                        // requests that it may send
-  std::chrono::milliseconds retryIn_{ 0 }; // when it has none: asks again
+  int permits_ = 0;                        // one request each
+  std::chrono::milliseconds retryIn_{ 0 }; // if there are no permits
 };
 
-// One host of the fleet, chosen alike by all, grants the permits of an
-// endpoint, so their sum needs no agreement. Permits are paced and do not add
-// up while nobody asks. Not thread-safe.
+// Grants the permits of the endpoints that this host was chosen for. All hosts
+// choose the same granting host for an endpoint, so the total needs no
+// agreement between them. Permits are paced, and unused ones don't accumulate.
+// Not thread-safe.
 class RateGranter
 {
 public:
   struct Options
   {
-    // Between the first question for an endpoint and its first permit. What
-    // was sent before the limit was known, and what another host has granted,
-    // still counts at the endpoint.
-    std::chrono::milliseconds settle_{ 2'000 };
-    // An endpoint that takes less, or nothing, still gets this rate: only the
-    // answer to a request tells that its limit has ended.
-    double leastPerSecond_ = 0.25;
-    double mostPerSecond_ = 1e6; // beyond it counts are out of range
-    // Permits for so long are granted at once, at least one, so that fast
-    // endpoints do not cost a question a request.
-    std::chrono::milliseconds cover_{ 100 };
-    // A host without a permit comes back within these bounds.
-    std::chrono::milliseconds soonest_{ 20 };
-    std::chrono::milliseconds latest_{ 10'000 };
-    // What was granted at an endpoint is forgotten when nobody asked for it
-    // for so long.
-    std::chrono::milliseconds keep_{ 60'000 };
-    // Where in its interval, from 0 to 1, a host that grants for itself alone
-    // begins; unlike that of the others.
+    // Delay between the first permit request for an endpoint and its first
+    // permit. Requests sent before the limit was known, or with permits of
+    // another granting host, still count at the endpoint.
+    std::chrono::milliseconds settleTime_{ 2'000 };
+    // Lower limits, including zero, are raised to this rate: only the response
+    // to a request tells that a limit was lifted.
+    double minPerSecond_ = 0.25;
+    double maxPerSecond_ = 1e6; // avoids integer overflow of permit counts
+    // The permits of this period, at least one, are granted together, so that
+    // fast endpoints don't need a permit request for each request.
+    std::chrono::milliseconds batchInterval_{ 100 };
+    // Bounds of the retry delay of a host that gets no permit.
+    std::chrono::milliseconds minRetry_{ 20 };
+    std::chrono::milliseconds maxRetry_{ 10'000 };
+    // The state of an endpoint is removed when no host has requested permits
+    // for this long.
+    std::chrono::milliseconds retention_{ 60'000 };
+    // Offset, from 0 to 1 of the permit interval, at which a host that grants
+    // only for itself starts. Hosts use different offsets, so that
+    // their permits don't coincide.
     double phase_ = 0;
   };
 
@@ -59,37 +60,39 @@
   {
   }
 
-  /// Answers a host that has a request for an endpoint.
+  /// Grants permits to a host that has a request for an endpoint.
   /// @param aPerSecond the endpoint's limit
-  /// @param aGranters how many hosts grant for this endpoint, each its even
-  /// part; more than one while this host hears none of the others
+  /// @param aGranters the number of hosts that grant permits for this endpoint,
+  /// each an even share of the limit; more than one while this host is
+  /// disconnected from all others
   RateVerdict Ask(const Incarnation& aEndpoint,
                   double aPerSecond,
                   std::size_t aGranters,
                   TimePoint aNow);
 
-  /// Forgets an endpoint: its limit has ended, or another host grants now.
-  void Forget(const Incarnation& aEndpoint) { granted_.erase(aEndpoint); }
+  /// Removes an endpoint whose limit was lifted, or for which another host now
+  /// grants permits.
+  void Forget(const Incarnation& aEndpoint) { grants_.erase(aEndpoint); }
 
-  /// Drops what has become old; called now and then.
+  /// Removes endpoints that no host requests permits for; called periodically.
   void Sweep(TimePoint aNow);
 
 private:
-  struct Granted
+  struct GrantState
   {
-    TimePoint next_;     // the next permit, not before
-    TimePoint reserved_; // up to which hosts were told to come back
-    TimePoint asked_;
+    TimePoint nextPermit_; // earliest time of the next permit
+    TimePoint nextRetry_;  // retry time for the next host
+    TimePoint lastRequested_;
   };
 
   Options options_;
-  std::map<Incarnation, Granted> granted_;
+  std::map<Incarnation, GrantState> grants_;
 };
 
-/// Chooses the host that grants the permits of an endpoint: the first of those
-/// given by a hash of its name and the endpoint's, so that hosts which know the
-/// same ones choose alike, and the loss of one moves no other's endpoints.
-/// @return empty when none is given
+/// Chooses the host that grants the permits of an endpoint by rendezvous
+/// hashing: hosts that know the same host names make the same choice, and the
+/// loss of a host moves only the endpoints that it was chosen for.
+/// @return the host's name; empty if aHosts is empty
 std::string GranterOf(const Incarnation& aEndpoint,
                       const std::vector<std::string>& aHosts);
 
--- a/include/gooseberrylift/limits/gooseberrylift-rate-permits.h
+++ b/include/gooseberrylift/limits/gooseberrylift-rate-permits.h
@@ -1,6 +1,7 @@
-// The permits that a host holds for endpoints with a rate limit, and when it
-// asks for more. The load it answers: requests that come at once to a host with
-// no permit. None of them waits for one while another endpoint has room.
+// Tracks the permits that this host holds for endpoints with a rate limit, and
+// decides when to request more. A request never waits for a permit while
+// another endpoint has capacity, also when many arrive at a host that holds
+// none.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_RATE_PERMITS_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_RATE_PERMITS_H_
@@ -20,11 +21,11 @@
 public:
   struct Options
   {
-    // A permit that was not used for so long is void, counted from when it was
-    // asked for: permits saved up by many hosts would be used in one moment.
-    std::chrono::milliseconds valid_{ 1'000 };
-    // A host without an answer asks again after this.
-    std::chrono::milliseconds unanswered_{ 500 };
+    // Permits expire this long after they were requested. Otherwise many hosts
+    // could save permits and use them all at the same moment.
+    std::chrono::milliseconds lifetime_{ 1'000 };
+    // Delay before the next permit request after one without a response.
+    std::chrono::milliseconds failureRetry_{ 500 };
   };
 
   explicit RatePermits(Options aOptions)
@@ -32,43 +33,45 @@
   {
   }
 
-  /// Says whether a request may be sent to an endpoint.
+  /// Returns whether this host holds a valid permit for an endpoint.
   bool Has(const Incarnation& aEndpoint, TimePoint aNow) const;
 
-  /// Uses a permit.
-  /// @return false when there is none
+  /// Consumes a permit.
+  /// @return false if there is none
   bool Take(const Incarnation& aEndpoint, TimePoint aNow);
 
-  /// Says whether this host is to ask for permits now, and notes that it does.
+  /// Marks a permit request as pending, if this host should send one now.
+  /// @return whether to send it
   bool BeginAsking(const Incarnation& aEndpoint, TimePoint aNow);
 
-  /// Takes in the answer to the question that was begun last.
+  /// Processes the response to the pending permit request.
   void OnVerdict(const Incarnation& aEndpoint,
-                 const RateVerdict& aVerdict,
+                 const RateVerdict& aGrant,
                  TimePoint aNow);
 
-  /// Notes that the question that was begun last has no answer.
+  /// Records that the pending permit request got no response.
   void OnUnanswered(const Incarnation& aEndpoint, TimePoint aNow);
 
-  /// Gives when a permit may be had; zero or less while a question is open.
+  /// Returns the time until the next permit request; zero or less if it is due
+  /// or pending.
   std::chrono::milliseconds OpensIn(const Incarnation& aEndpoint,
                                     TimePoint aNow) const;
 
-  /// Forgets an endpoint: its limit has ended.
-  void Forget(const Incarnation& aEndpoint) { holds_.erase(aEndpoint); }
+  /// Removes an endpoint whose limit was lifted.
+  void Forget(const Incarnation& aEndpoint) { states_.erase(aEndpoint); }
 
 private:
-  struct Hold
+  struct PermitState
   {
     int permits_ = 0;
-    TimePoint void_{}; // permits are void from then on
-    bool asking_ = false;
-    TimePoint asked_{};
-    TimePoint askAt_{}; // not before
+    TimePoint expires_{};
+    bool pending_ = false;
+    TimePoint lastRequested_{};
+    TimePoint nextRequest_{}; // earliest time
   };
 
   Options options_;
-  std::map<Incarnation, Hold> holds_;
+  std::map<Incarnation, PermitState> states_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/limits/gooseberrylift-repeat-budget.h
+++ b/include/gooseberrylift/limits/gooseberrylift-repeat-budget.h
@@ -1,7 +1,6 @@
-// Bounds how often requests are sent to a further endpoint. The load it
-// answers: endpoints that fail many requests at once. Without a bound over all
-// hosts each failure doubles the load on those that are left, and the fleet
-// spends itself on repeats.
+// Limits how often failed requests are retried at another endpoint, over all
+// hosts. If endpoints fail many requests at once, unlimited retries double the
+// load on the remaining endpoints, and the fleet's capacity goes into retries.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_REPEAT_BUDGET_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_REPEAT_BUDGET_H_
@@ -16,19 +15,20 @@
 
 namespace gooseberrylift {
 
-// Counts what happened in the last while, in slices of a part of it, so that
-// any window of that length is bounded and not just those of a fixed grid.
-class SlidingCount
+// Counts events in a sliding window, which is divided into slices, so that a
+// limit holds for any window of that length and not only for aligned ones.
+class SlidingWindowCounter
 {
 public:
-  /// Adds one at a time that does not fall.
+  /// Counts one event. Times must not decrease between calls.
   void Add(TimePoint aNow, std::chrono::milliseconds aWindow);
 
-  /// Gives the count of the window that ends now, and up to a slice more.
+  /// Returns the count for the window that ends at aNow, plus up to one slice.
   std::uint64_t Sum(TimePoint aNow, std::chrono::milliseconds aWindow) const;
 
 private:
-  static constexpr std::int64_t kSlices = 50; // 200 ms of a window of 10 s
+  // Slices of 200 ms for a window of 10 s.
+  static constexpr std::int64_t kSlices = 50;
 
   static std::int64_t SliceOf(TimePoint aNow,
                               std::chrono::milliseconds aWindow);
@@ -41,21 +41,22 @@
   std::array<Slice, kSlices + 1> slices_{};
 };
 
-// One host's part of a budget that all hosts share. The fixed allowance is
-// split evenly; the part that grows with the requests needs no split, because
-// each host counts its own. So the sum over the hosts never exceeds the whole,
-// also while they can't reach each other. Not thread-safe.
+// One host's share of a retry budget for all hosts. The fixed allowance is
+// split evenly. The part proportional to the requests needs no split, because
+// each host counts its own requests. So the sum over all hosts never exceeds
+// the budget, even while they can't reach each other. Not thread-safe.
 class RepeatBudget
 {
 public:
   struct Options
   {
-    double ratio_ = 0.2; // repeats for each request
+    double ratio_ = 0.2; // retries per request
     std::chrono::milliseconds window_{ 10'000 };
-    double allowance_ = 100; // repeats in a window, over all hosts
-    // Requests are counted in one sliding window here and in the best of
-    // three by the promise; a tenth is kept back for the slices' rounding.
-    double safety_ = 0.9;
+    double allowance_ = 100; // retries per window, over all hosts
+    // The promised limit is checked against the best of three windows, while
+    // requests are counted in one sliding window here; a tenth is reserved for
+    // the rounding to slices.
+    double safetyFactor_ = 0.9;
   };
 
   explicit RepeatBudget(Options aOptions)
@@ -65,26 +66,26 @@
 
   void SetOptions(Options aOptions) { options_ = aOptions; }
 
-  /// Notes a caller's request for a service.
+  /// Counts a caller's request for a service.
   void OnRequest(const std::string& aService, TimePoint aNow);
 
-  /// Asks for one repeat, which is then counted.
-  /// @param aHosts how many hosts share the budget, at least 1
-  /// @return false when it would go over this host's part
+  /// Counts a retry if this host's share of the budget allows it.
+  /// @param aHosts the number of hosts that share the budget, at least 1
+  /// @return whether the retry is allowed
   bool TryRepeat(const std::string& aService,
                  std::size_t aHosts,
                  TimePoint aNow);
 
-  /// Gives how many repeats are left to this host now.
-  double Left(const std::string& aService,
-              std::size_t aHosts,
-              TimePoint aNow) const;
+  /// Returns the number of retries that this host has left now.
+  double Remaining(const std::string& aService,
+                   std::size_t aHosts,
+                   TimePoint aNow) const;
 
 private:
   struct Counts
   {
-    SlidingCount requests_;
-    SlidingCount repeats_;
+    SlidingWindowCounter requests_;
+    SlidingWindowCounter retries_;
   };
 
   Options options_;
--- a/include/gooseberrylift/limits/gooseberrylift-route-admission.h
+++ b/include/gooseberrylift/limits/gooseberrylift-route-admission.h
@@ -1,7 +1,7 @@
-// Decides whether a request is sent at all. The load it answers: bursts beyond
-// what the endpoints can take. Without it every request waits at some engine,
-// most of them until their callers have left, and the work done for those is
-// lost to the ones that could have been served.
+// Admission control for routes: rejects requests that can't be answered in
+// time. Without it, in a burst beyond the capacity of the endpoints every
+// request would queue at an engine, most of them until their callers have
+// disconnected, and the work done for those would be wasted.
 
 #ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ROUTE_ADMISSION_H_
 #define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ROUTE_ADMISSION_H_
@@ -12,25 +12,26 @@
 
 namespace gooseberrylift {
 
-// What is known when a request is to be admitted.
+// The state of a request that needs an admission decision.
 struct AdmissionQuestion
 {
-  std::chrono::microseconds predicted_{ 0 }; // until its first answer
+  std::chrono::microseconds predicted_{ 0 }; // time to its first token
   std::chrono::milliseconds remaining_{ 0 }; // until its deadline
-  std::chrono::milliseconds patience_{ 0 };  // silence that its caller bears
-  std::chrono::milliseconds held_{ 0 };      // of that, since it arrived
-  std::uint64_t draw_ = 0; // a random number that spreads the returns
+  std::chrono::milliseconds patience_{ 0 };  // caller's stall timeout
+  std::chrono::milliseconds held_{ 0 };      // time held since its arrival
+  std::uint64_t draw_ = 0; // random number that spreads the retries
 };
 
-/// Judges a request.
-/// @return nothing when it is to be sent; else when its caller should come
-/// back: after the time by which the prediction is too long, spread over as
-/// much again, so that those refused together don't return together
+/// Decides whether a request is admitted.
+/// @return nothing if it is admitted; otherwise the delay before its caller
+/// should retry: the time by which the prediction is too long, plus a random
+/// part of up to as much again, so that requests rejected together don't return
+/// together
 std::optional<std::chrono::milliseconds> RefuseFor(
-  const AdmissionQuestion& aQuestion);
+  const AdmissionQuestion& aInput);
 
-/// Gives when a caller should come back at the latest, of the time it has left:
-/// it does not wait longer.
+/// Returns the longest retry delay for a caller with the given remaining time.
+/// Callers don't wait for longer ones.
 std::chrono::milliseconds LatestReturnOf(std::chrono::milliseconds aRemaining);
 
 } // namespace gooseberrylift
--- a/src/core/limits/gooseberrylift-crash-suspects.cc
+++ b/src/core/limits/gooseberrylift-crash-suspects.cc
@@ -11,9 +11,9 @@
 namespace {
 
 template<typename Map, typename Time>
-void DropOldest(Map& aMap, std::size_t aMost, const Time& aTimeOf)
+void EvictOldest(Map& aMap, std::size_t aMaxEntries, const Time& aTimeOf)
 {
-  while (aMap.size() > aMost) {
+  while (aMap.size() > aMaxEntries) {
     aMap.erase(std::min_element(
       aMap.begin(), aMap.end(), [&](const auto& aLeft, const auto& aRight) {
         return aTimeOf(aLeft.second) < aTimeOf(aRight.second);
@@ -27,8 +27,8 @@
                           std::string_view aCaller,
                           std::string_view aBody)
 {
-  // Each part is hashed with the one before as its seed, so that no part can
-  // pass for the end of another.
+  // The hash of each part seeds the next one, so that shifting bytes from one
+  // part to the next changes the fingerprint.
   std::uint64_t hash = XXH3_64bits(aTarget.data(), aTarget.size());
   hash = XXH3_64bits_withSeed(aCaller.data(), aCaller.size(), hash);
   hash = XXH3_64bits_withSeed(aBody.data(), aBody.size(), hash);
@@ -43,16 +43,16 @@
                              WallTime aNow)
 {
   Suspect& suspect = suspects_[aFingerprint];
-  if (aNow - suspect.first_ > options_.within_) {
-    suspect = { .breaks_ = {}, .first_ = aNow };
+  if (aNow - suspect.firstLost_ > options_.observationWindow_) {
+    suspect = { .lostConnections_ = {}, .firstLost_ = aNow };
   }
-  const auto ended = ended_.find(aEndpoint);
-  const bool proven =
-    ended != ended_.end() && aNow - ended->second <= options_.proofWithin_;
-  suspect.breaks_[aEndpoint] = { .at_ = aNow, .ended_ = proven };
-  const bool quarantined = proven && Judge(aFingerprint, aNow);
-  DropOldest(suspects_, options_.most_, [](const Suspect& aSuspect) {
-    return aSuspect.first_;
+  const auto exit = lastExits_.find(aEndpoint);
+  const bool crashed = exit != lastExits_.end() &&
+                       aNow - exit->second <= options_.confirmationWindow_;
+  suspect.lostConnections_[aEndpoint] = { .at_ = aNow, .crashed_ = crashed };
+  const bool quarantined = crashed && QuarantineIfConfirmed(aFingerprint, aNow);
+  EvictOldest(suspects_, options_.maxEntries_, [](const Suspect& aSuspect) {
+    return aSuspect.firstLost_;
   });
   return quarantined;
 }
@@ -60,65 +60,70 @@
 std::vector<std::string> CrashSuspects::OnEnded(const std::string& aEndpoint,
                                                 WallTime aNow)
 {
-  ended_[aEndpoint] = aNow;
-  DropOldest(ended_, options_.most_, [](WallTime aAt) { return aAt; });
-  std::vector<std::string> marked;
+  lastExits_[aEndpoint] = aNow;
+  EvictOldest(
+    lastExits_, options_.maxEntries_, [](WallTime aAt) { return aAt; });
+  std::vector<std::string> confirmed;
   for (auto& [fingerprint, suspect] : suspects_) {
-    const auto found = suspect.breaks_.find(aEndpoint);
-    if (found != suspect.breaks_.end() && !found->second.ended_ &&
-        aNow - found->second.at_ <= options_.proofWithin_) {
-      found->second.ended_ = true;
-      marked.push_back(fingerprint);
+    const auto found = suspect.lostConnections_.find(aEndpoint);
+    if (found != suspect.lostConnections_.end() && !found->second.crashed_ &&
+        aNow - found->second.at_ <= options_.confirmationWindow_) {
+      found->second.crashed_ = true;
+      confirmed.push_back(fingerprint);
     }
   }
   std::vector<std::string> quarantined;
-  for (const std::string& fingerprint : marked) {
-    if (Judge(fingerprint, aNow)) {
+  for (const std::string& fingerprint : confirmed) {
+    if (QuarantineIfConfirmed(fingerprint, aNow)) {
       quarantined.push_back(fingerprint);
     }
   }
   return quarantined;
 }
 
-std::set<std::string> CrashSuspects::EndedBy(const Suspect& aSuspect) const
+std::set<std::string> CrashSuspects::ConfirmedCrashes(
+  const Suspect& aSuspect) const
 {
-  std::set<std::string> ended;
-  for (const auto& [endpoint, broken] : aSuspect.breaks_) {
-    if (broken.ended_) {
-      ended.insert(endpoint);
+  std::set<std::string> crashed;
+  for (const auto& [endpoint, connection] : aSuspect.lostConnections_) {
+    if (connection.crashed_) {
+      crashed.insert(endpoint);
     }
   }
-  return ended;
+  return crashed;
 }
 
-// Says whether another request fell at all of these endpoints as well.
-bool CrashSuspects::IsShared(const std::string& aFingerprint,
-                             const std::set<std::string>& aEnded) const
+// Returns whether another request also ran on all of these endpoints when they
+// crashed.
+bool CrashSuspects::HasSameCrashes(const std::string& aFingerprint,
+                                   const std::set<std::string>& aCrashed) const
 {
   return std::any_of(
     suspects_.begin(), suspects_.end(), [&](const auto& aEntry) {
-      const std::set<std::string> others = EndedBy(aEntry.second);
+      const std::set<std::string> others = ConfirmedCrashes(aEntry.second);
       return aEntry.first != aFingerprint &&
              std::includes(
-               others.begin(), others.end(), aEnded.begin(), aEnded.end());
+               others.begin(), others.end(), aCrashed.begin(), aCrashed.end());
     });
 }
 
-// Puts a request under quarantine when it has ended enough endpoints.
-bool CrashSuspects::Judge(const std::string& aFingerprint, WallTime aNow)
+// Quarantines a request if enough endpoints crashed while they ran it.
+bool CrashSuspects::QuarantineIfConfirmed(const std::string& aFingerprint,
+                                          WallTime aNow)
 {
-  const std::set<std::string> ended = EndedBy(suspects_.at(aFingerprint));
-  if (ended.size() < options_.endpoints_) {
+  const std::set<std::string> crashed =
+    ConfirmedCrashes(suspects_.at(aFingerprint));
+  if (crashed.size() < options_.crashThreshold_) {
     return false;
   }
-  if (ended.size() < options_.endpointsIfShared_ &&
-      IsShared(aFingerprint, ended)) {
+  if (crashed.size() < options_.sharedCrashThreshold_ &&
+      HasSameCrashes(aFingerprint, crashed)) {
     return false;
   }
   suspects_.erase(aFingerprint);
-  quarantine_[aFingerprint] = aNow + options_.quarantine_;
-  DropOldest(
-    quarantine_, options_.most_, [](WallTime aUntil) { return aUntil; });
+  quarantine_[aFingerprint] = aNow + options_.quarantineTime_;
+  EvictOldest(
+    quarantine_, options_.maxEntries_, [](WallTime aUntil) { return aUntil; });
   return true;
 }
 
@@ -135,8 +140,8 @@
     WallTime& until = quarantine_[entry.fingerprint_];
     until = std::max(until, entry.until_);
   }
-  DropOldest(
-    quarantine_, options_.most_, [](WallTime aUntil) { return aUntil; });
+  EvictOldest(
+    quarantine_, options_.maxEntries_, [](WallTime aUntil) { return aUntil; });
 }
 
 std::vector<QuarantineEntry> CrashSuspects::Entries(WallTime aNow) const
--- a/src/core/limits/gooseberrylift-endpoint-rates.cc
+++ b/src/core/limits/gooseberrylift-endpoint-rates.cc
@@ -7,16 +7,17 @@
 
 namespace {
 
-// Says whether a peer's entry replaces the one at hand.
-bool Replaces(const EndpointRate& aTold,
-              std::uint64_t aVersion,
-              const std::optional<double>& aPerSecond)
+// Returns whether a peer's entry replaces the local one.
+bool Supersedes(const EndpointRate& aReceived,
+                std::uint64_t aVersion,
+                const std::optional<double>& aPerSecond)
 {
-  if (aTold.version_ != aVersion) {
-    return aTold.version_ > aVersion;
+  if (aReceived.version_ != aVersion) {
+    return aReceived.version_ > aVersion;
   }
-  // Of two versions that hosts made at once the careful one stays.
-  return aTold.perSecond_ && (!aPerSecond || *aTold.perSecond_ < *aPerSecond);
+  // If two hosts created the same version concurrently, the lower limit wins.
+  return aReceived.perSecond_ &&
+         (!aPerSecond || *aReceived.perSecond_ < *aPerSecond);
 }
 
 } // namespace
@@ -30,40 +31,42 @@
   if (aNotice.kind_ == RateNotice::Kind::kUnreadable) {
     return std::nullopt;
   }
-  const bool named = aNotice.kind_ == RateNotice::Kind::kNamed;
-  auto found = known_.find(aEndpoint);
-  if (found == known_.end()) {
-    if (!named) {
+  const bool hasLimit = aNotice.kind_ == RateNotice::Kind::kNamed;
+  auto found = limits_.find(aEndpoint);
+  if (found == limits_.end()) {
+    if (!hasLimit) {
       return std::nullopt;
     }
-    found = known_.try_emplace(aEndpoint, Known{ .listed_ = aNow }).first;
+    found =
+      limits_.try_emplace(aEndpoint, LimitState{ .lastListed_ = aNow }).first;
   }
-  Known& known = found->second;
-  if (!named && aSent <= known.learnt_) {
+  LimitState& limit = found->second;
+  if (!hasLimit && aSent <= limit.lastReported_) {
     return std::nullopt;
   }
   std::optional<double> rate;
-  if (named) {
+  if (hasLimit) {
     rate = aNotice.perSecond_;
-    known.learnt_ = aNow;
+    limit.lastReported_ = aNow;
   }
-  if (known.version_ > 0 && IsSame(known.perSecond_, rate)) {
+  if (limit.version_ > 0 && IsUnchanged(limit.perSecond_, rate)) {
     return std::nullopt;
   }
-  known.perSecond_ = rate;
-  ++known.version_;
+  limit.perSecond_ = rate;
+  ++limit.version_;
   return EndpointRate{ .endpoint_ = aEndpoint,
-                       .version_ = known.version_,
+                       .version_ = limit.version_,
                        .perSecond_ = rate };
 }
 
-bool EndpointRates::IsSame(const std::optional<double>& aKnown,
-                           const std::optional<double>& aNamed) const
+bool EndpointRates::IsUnchanged(const std::optional<double>& aCurrent,
+                                const std::optional<double>& aReported) const
 {
-  if (!aKnown || !aNamed) {
-    return aKnown.has_value() == aNamed.has_value();
+  if (!aCurrent || !aReported) {
+    return aCurrent.has_value() == aReported.has_value();
   }
-  return std::abs(*aNamed - *aKnown) <= *aKnown * options_.sameShare_;
+  return std::abs(*aReported - *aCurrent) <=
+         *aCurrent * options_.changeTolerance_;
 }
 
 std::vector<EndpointRate> EndpointRates::OnPeer(
@@ -72,23 +75,24 @@
   TimePoint aNow)
 {
   std::vector<EndpointRate> changed;
-  for (const EndpointRate& told : aEntries) {
-    if (!aIsListed(told.endpoint_)) {
+  for (const EndpointRate& received : aEntries) {
+    if (!aIsListed(received.endpoint_)) {
       continue;
     }
-    Known& known = known_.try_emplace(told.endpoint_, Known{ .listed_ = aNow })
-                     .first->second;
-    if (!Replaces(told, known.version_, known.perSecond_)) {
+    LimitState& limit =
+      limits_.try_emplace(received.endpoint_, LimitState{ .lastListed_ = aNow })
+        .first->second;
+    if (!Supersedes(received, limit.version_, limit.perSecond_)) {
       continue;
     }
-    const bool same = known.perSecond_ == told.perSecond_;
-    known.version_ = told.version_;
-    known.perSecond_ = told.perSecond_;
-    if (told.perSecond_) {
-      known.learnt_ = aNow;
+    const bool same = limit.perSecond_ == received.perSecond_;
+    limit.version_ = received.version_;
+    limit.perSecond_ = received.perSecond_;
+    if (received.perSecond_) {
+      limit.lastReported_ = aNow;
     }
     if (!same) {
-      changed.push_back(told);
+      changed.push_back(received);
     }
   }
   return changed;
@@ -97,8 +101,8 @@
 std::optional<EndpointRate> EndpointRates::Find(
   const Incarnation& aEndpoint) const
 {
-  const auto found = known_.find(aEndpoint);
-  if (found == known_.end()) {
+  const auto found = limits_.find(aEndpoint);
+  if (found == limits_.end()) {
     return std::nullopt;
   }
   return EndpointRate{ .endpoint_ = aEndpoint,
@@ -108,25 +112,25 @@
 
 bool EndpointRates::HasLimits() const
 {
-  return std::any_of(known_.begin(), known_.end(), [](const auto& aKnown) {
-    return aKnown.second.perSecond_.has_value();
+  return std::any_of(limits_.begin(), limits_.end(), [](const auto& aCurrent) {
+    return aCurrent.second.perSecond_.has_value();
   });
 }
 
 std::optional<double> EndpointRates::Of(const Incarnation& aEndpoint) const
 {
-  const auto found = known_.find(aEndpoint);
-  return found == known_.end() ? std::nullopt : found->second.perSecond_;
+  const auto found = limits_.find(aEndpoint);
+  return found == limits_.end() ? std::nullopt : found->second.perSecond_;
 }
 
 std::vector<EndpointRate> EndpointRates::Entries() const
 {
   std::vector<EndpointRate> entries;
-  entries.reserve(known_.size());
-  for (const auto& [endpoint, known] : known_) {
+  entries.reserve(limits_.size());
+  for (const auto& [endpoint, limit] : limits_) {
     entries.push_back({ .endpoint_ = endpoint,
-                        .version_ = known.version_,
-                        .perSecond_ = known.perSecond_ });
+                        .version_ = limit.version_,
+                        .perSecond_ = limit.perSecond_ });
   }
   return entries;
 }
@@ -135,16 +139,16 @@
                                               TimePoint aNow)
 {
   std::vector<Incarnation> dropped;
-  for (auto known = known_.begin(); known != known_.end();) {
-    if (aIsListed(known->first)) {
-      known->second.listed_ = aNow;
+  for (auto limit = limits_.begin(); limit != limits_.end();) {
+    if (aIsListed(limit->first)) {
+      limit->second.lastListed_ = aNow;
     }
-    if (aNow - known->second.listed_ <= options_.keep_) {
-      ++known;
+    if (aNow - limit->second.lastListed_ <= options_.retention_) {
+      ++limit;
       continue;
     }
-    dropped.push_back(known->first);
-    known = known_.erase(known);
+    dropped.push_back(limit->first);
+    limit = limits_.erase(limit);
   }
   return dropped;
 }
--- a/src/core/limits/gooseberrylift-long-hold.cc
+++ b/src/core/limits/gooseberrylift-long-hold.cc
@@ -7,33 +7,35 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-HoldVerdict HoldLong(const HoldQuestion& aQuestion, const HoldOptions& aOptions)
+HoldVerdict HoldLong(const HoldQuestion& aInput, const HoldOptions& aOptions)
 {
-  if (aQuestion.blind_ &&
-      aQuestion.waited_ < aQuestion.objective_ * aOptions.blindShare_) {
+  if (aInput.blind_ &&
+      aInput.waited_ < aInput.objective_ * aOptions.blindHoldShare_) {
     return HoldVerdict::kHold;
   }
-  constexpr double kSecond = 1e6; // us
-  const double readSeconds =
-    std::max(static_cast<double>(aQuestion.read_.count()) / kSecond, 1e-3);
+  constexpr double kMicrosPerSecond = 1e6;
+  const double readSeconds = std::max(
+    static_cast<double>(aInput.read_.count()) / kMicrosPerSecond, 1e-3);
   const double factor =
     std::clamp(1 / readSeconds, aOptions.leastFactor_, aOptions.mostFactor_);
-  const bool late = aQuestion.objective_.count() > 0 &&
-                    aQuestion.waited_ + aQuestion.part_ > aQuestion.objective_;
+  const bool missesObjective =
+    aInput.objective_.count() > 0 &&
+    aInput.waited_ + aInput.part_ > aInput.objective_;
   const std::chrono::duration<double, std::milli> allowed =
-    aOptions.allowedWait_ * factor * (late ? aOptions.lateFactor_ : 1.0);
-  if (aQuestion.wait_ <= allowed) {
+    aOptions.allowedWait_ * factor *
+    (missesObjective ? aOptions.lateFactor_ : 1.0);
+  if (aInput.wait_ <= allowed) {
     return HoldVerdict::kSend;
   }
-  const milliseconds bearable =
-    std::min(aQuestion.patience_, aQuestion.waited_ + aQuestion.remaining_);
+  const milliseconds callerTimeout =
+    std::min(aInput.patience_, aInput.waited_ + aInput.remaining_);
   const std::chrono::duration<double, std::milli> latest =
-    bearable * aOptions.latestShare_ - aOptions.ownRead_ * aQuestion.part_;
-  if (aQuestion.waited_ < latest) {
+    callerTimeout * aOptions.latestShare_ - aOptions.ownRead_ * aInput.part_;
+  if (aInput.waited_ < latest) {
     return HoldVerdict::kHold;
   }
-  return aQuestion.wait_ <= aOptions.lastWait_ ? HoldVerdict::kSend
-                                               : HoldVerdict::kGiveUp;
+  return aInput.wait_ <= aOptions.lastWait_ ? HoldVerdict::kSend
+                                            : HoldVerdict::kGiveUp;
 }
 
 } // namespace gooseberrylift
--- a/src/core/limits/gooseberrylift-patience.cc
+++ b/src/core/limits/gooseberrylift-patience.cc
@@ -8,20 +8,21 @@
 
 namespace {
 
-constexpr milliseconds kCallerLeast{ 2'000 };
-constexpr int kCallerObjectives = 4;
-constexpr int kCallerGaps = 8;
+constexpr milliseconds kMinCallerTimeout{ 2'000 };
+constexpr int kCallerObjectiveFactor = 4;
+constexpr int kCallerGapFactor = 8;
 
-// A plain service answers most calls in a fifth of its objective and all but
-// the slowest within it; four objectives of silence are a hang.
-constexpr int kPlainObjectives = 4;
+// A plain service answers most calls within a fifth of its objective and all
+// but the slowest within the objective. After four objectives the call is
+// stalled.
+constexpr int kPlainObjectiveFactor = 4;
 
-// Of an endpoint's slots, how many a host must know to be taken before it takes
-// the endpoint for full: it hears of what other hosts sent a moment late.
-constexpr double kFullShare = 0.75;
+// An endpoint counts as saturated if this share of its slots is known to be in
+// use. It is below 1 because other hosts report their requests with a delay.
+constexpr double kSaturatedShare = 0.75;
 
-// The pieces that an engine writes in one pass are here within so long.
-constexpr milliseconds kPieceSpread{ 100 };
+// The events that an engine writes in one batch step arrive within this time.
+constexpr milliseconds kBatchWriteSpread{ 100 };
 
 } // namespace
 
@@ -30,39 +31,42 @@
   if (aRoute.kind_ != RouteKind::kStreaming) {
     return aRoute.timeout_;
   }
-  return std::max({ kCallerLeast,
-                    aRoute.objective_ * kCallerObjectives,
-                    aRoute.maxGap_ * kCallerGaps });
+  return std::max({ kMinCallerTimeout,
+                    aRoute.objective_ * kCallerObjectiveFactor,
+                    aRoute.maxGap_ * kCallerGapFactor });
 }
 
 milliseconds SilenceLimit(const Route& aRoute)
 {
   if (aRoute.kind_ != RouteKind::kStreaming) {
-    return std::min(aRoute.timeout_, aRoute.objective_ * kPlainObjectives);
+    return std::min(aRoute.timeout_, aRoute.objective_ * kPlainObjectiveFactor);
   }
   return CallerPatience(aRoute) / 2;
 }
 
-bool LooksHung(const EndpointSigns& aSigns, milliseconds aLimit)
+bool LooksHung(const EndpointSigns& aActivity, milliseconds aLimit)
 {
-  // A read stretches the pass that it falls into. Half of the limit is added
-  // for it at most, so that a caller's patience is left for another endpoint.
-  const milliseconds limit = aLimit + std::min(aSigns.backlog_, aLimit / 2);
-  const bool silentToAll = aSigns.silent_ >= limit;
-  if (aSigns.begun_) {
-    // What writes for others and not for this one has lost it; a little later,
-    // since the pieces of one pass come one after the other.
-    const bool writesForOthers = aSigns.silent_ < aLimit;
-    return silentToAll ||
-           (writesForOthers && aSigns.silentHere_ >= aLimit + kPieceSpread);
+  // Prefill lengthens the batch step that it runs in. At most half of the
+  // timeout is added for it, so that enough of the caller's timeout is left for
+  // another endpoint.
+  const milliseconds limit = aLimit + std::min(aActivity.backlog_, aLimit / 2);
+  const bool silentToAll = aActivity.silent_ >= limit;
+  if (aActivity.begun_) {
+    // An engine that sends events to other requests but not to this one has
+    // lost it. The events of one batch step arrive one after the other, so a
+    // short delay is allowed.
+    const bool servesOthers = aActivity.silent_ < aLimit;
+    return silentToAll || (servesOthers &&
+                           aActivity.silentHere_ >= aLimit + kBatchWriteSpread);
   }
   if (!silentToAll) {
-    return aSigns.overtaken_;
+    return aActivity.overtaken_;
   }
   const bool answersOthers =
-    aSigns.silentToPeers_ && *aSigns.silentToPeers_ < aLimit;
-  const bool full = aSigns.running_ >= aSigns.slots_ * kFullShare;
-  return !answersOthers || !full;
+    aActivity.silentToPeers_ && *aActivity.silentToPeers_ < aLimit;
+  const bool saturated =
+    aActivity.running_ >= aActivity.slots_ * kSaturatedShare;
+  return !answersOthers || !saturated;
 }
 
 } // namespace gooseberrylift
--- a/src/core/limits/gooseberrylift-rate-granter.cc
+++ b/src/core/limits/gooseberrylift-rate-granter.cc
@@ -26,43 +26,46 @@
                              TimePoint aNow)
 {
   const double rate =
-    std::clamp(aPerSecond, options_.leastPerSecond_, options_.mostPerSecond_) /
+    std::clamp(aPerSecond, options_.minPerSecond_, options_.maxPerSecond_) /
     static_cast<double>(aGranters);
   const auto interval =
     duration_cast<TimePoint::duration>(std::chrono::duration<double>(1 / rate));
-  TimePoint first = aNow + options_.settle_;
+  TimePoint first = aNow + options_.settleTime_;
   if (aGranters > 1) {
     first += duration_cast<TimePoint::duration>(interval * options_.phase_);
   }
-  Granted& granted =
-    granted_
-      .try_emplace(aEndpoint, Granted{ .next_ = first, .reserved_ = first })
+  GrantState& granted =
+    grants_
+      .try_emplace(aEndpoint,
+                   GrantState{ .nextPermit_ = first, .nextRetry_ = first })
       .first->second;
-  granted.asked_ = aNow;
-  if (aNow >= granted.next_) {
-    const double cover =
-      rate * std::chrono::duration<double>(options_.cover_).count();
-    const int permits = std::max(static_cast<int>(std::floor(cover)), 1);
-    // A host that asks a little late does not lower the rate. Hosts that
-    // grant apart from each other could all be late in one moment.
-    const TimePoint begins = aGranters > 1 ? aNow : aNow - interval;
-    granted.next_ = std::max(granted.next_, begins) + permits * interval;
+  granted.lastRequested_ = aNow;
+  if (aNow >= granted.nextPermit_) {
+    const double batch =
+      rate * std::chrono::duration<double>(options_.batchInterval_).count();
+    const int permits = std::max(static_cast<int>(std::floor(batch)), 1);
+    // A request that comes up to an interval late doesn't lower the rate. With
+    // several granting hosts there is no such allowance, because all of them
+    // could catch up at the same moment.
+    const TimePoint earliest = aGranters > 1 ? aNow : aNow - interval;
+    granted.nextPermit_ =
+      std::max(granted.nextPermit_, earliest) + permits * interval;
     return { .permits_ = permits };
   }
-  granted.reserved_ = std::max(granted.reserved_, granted.next_);
-  const TimePoint latest = aNow + options_.latest_;
-  const TimePoint back = std::min(granted.reserved_, latest);
-  if (granted.reserved_ < latest) {
-    granted.reserved_ += interval;
+  granted.nextRetry_ = std::max(granted.nextRetry_, granted.nextPermit_);
+  const TimePoint latest = aNow + options_.maxRetry_;
+  const TimePoint retryAt = std::min(granted.nextRetry_, latest);
+  if (granted.nextRetry_ < latest) {
+    granted.nextRetry_ += interval;
   }
-  return { .retryIn_ = std::max(std::chrono::ceil<milliseconds>(back - aNow),
-                                options_.soonest_) };
+  return { .retryIn_ = std::max(std::chrono::ceil<milliseconds>(retryAt - aNow),
+                                options_.minRetry_) };
 }
 
 void RateGranter::Sweep(TimePoint aNow)
 {
-  std::erase_if(granted_, [&](const auto& aGranted) {
-    return aNow - aGranted.second.asked_ > options_.keep_;
+  std::erase_if(grants_, [&](const auto& aGranted) {
+    return aNow - aGranted.second.lastRequested_ > options_.retention_;
   });
 }
 
--- a/src/core/limits/gooseberrylift-rate-permits.cc
+++ b/src/core/limits/gooseberrylift-rate-permits.cc
@@ -6,9 +6,9 @@
 
 bool RatePermits::Has(const Incarnation& aEndpoint, TimePoint aNow) const
 {
-  const auto found = holds_.find(aEndpoint);
-  return found != holds_.end() && found->second.permits_ > 0 &&
-         aNow < found->second.void_;
+  const auto found = states_.find(aEndpoint);
+  return found != states_.end() && found->second.permits_ > 0 &&
+         aNow < found->second.expires_;
 }
 
 bool RatePermits::Take(const Incarnation& aEndpoint, TimePoint aNow)
@@ -16,49 +16,49 @@
   if (!Has(aEndpoint, aNow)) {
     return false;
   }
-  --holds_.at(aEndpoint).permits_;
+  --states_.at(aEndpoint).permits_;
   return true;
 }
 
 bool RatePermits::BeginAsking(const Incarnation& aEndpoint, TimePoint aNow)
 {
-  Hold& hold = holds_[aEndpoint];
-  if (hold.asking_ || aNow < hold.askAt_) {
+  PermitState& state = states_[aEndpoint];
+  if (state.pending_ || aNow < state.nextRequest_) {
     return false;
   }
-  hold.asking_ = true;
-  hold.asked_ = aNow;
+  state.pending_ = true;
+  state.lastRequested_ = aNow;
   return true;
 }
 
 void RatePermits::OnVerdict(const Incarnation& aEndpoint,
-                            const RateVerdict& aVerdict,
+                            const RateVerdict& aGrant,
                             TimePoint aNow)
 {
-  const auto found = holds_.find(aEndpoint);
-  if (found == holds_.end()) {
-    return; // the limit has ended meanwhile
+  const auto found = states_.find(aEndpoint);
+  if (found == states_.end()) {
+    return; // the limit was lifted in the meantime
   }
-  Hold& hold = found->second;
-  hold.asking_ = false;
-  hold.permits_ = aVerdict.permits_;
-  hold.void_ = hold.asked_ + options_.valid_;
-  hold.askAt_ = aNow + aVerdict.retryIn_;
+  PermitState& state = found->second;
+  state.pending_ = false;
+  state.permits_ = aGrant.permits_;
+  state.expires_ = state.lastRequested_ + options_.lifetime_;
+  state.nextRequest_ = aNow + aGrant.retryIn_;
 }
 
 void RatePermits::OnUnanswered(const Incarnation& aEndpoint, TimePoint aNow)
 {
-  OnVerdict(aEndpoint, { .retryIn_ = options_.unanswered_ }, aNow);
+  OnVerdict(aEndpoint, { .retryIn_ = options_.failureRetry_ }, aNow);
 }
 
 milliseconds RatePermits::OpensIn(const Incarnation& aEndpoint,
                                   TimePoint aNow) const
 {
-  const auto found = holds_.find(aEndpoint);
-  if (found == holds_.end() || found->second.asking_) {
+  const auto found = states_.find(aEndpoint);
+  if (found == states_.end() || found->second.pending_) {
     return milliseconds(0);
   }
-  return std::chrono::ceil<milliseconds>(found->second.askAt_ - aNow);
+  return std::chrono::ceil<milliseconds>(found->second.nextRequest_ - aNow);
 }
 
 } // namespace gooseberrylift
--- a/src/core/limits/gooseberrylift-repeat-budget.cc
+++ b/src/core/limits/gooseberrylift-repeat-budget.cc
@@ -4,8 +4,8 @@
 
 namespace gooseberrylift {
 
-std::int64_t SlidingCount::SliceOf(TimePoint aNow,
-                                   std::chrono::milliseconds aWindow)
+std::int64_t SlidingWindowCounter::SliceOf(TimePoint aNow,
+                                           std::chrono::milliseconds aWindow)
 {
   const auto length = std::max<std::int64_t>(aWindow.count() / kSlices, 1);
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -14,7 +14,8 @@
          length;
 }
 
-void SlidingCount::Add(TimePoint aNow, std::chrono::milliseconds aWindow)
+void SlidingWindowCounter::Add(TimePoint aNow,
+                               std::chrono::milliseconds aWindow)
 {
   const std::int64_t number = SliceOf(aNow, aWindow);
   Slice& slice = slices_.at(static_cast<std::size_t>(number % (kSlices + 1)));
@@ -24,8 +25,8 @@
   ++slice.count_;
 }
 
-std::uint64_t SlidingCount::Sum(TimePoint aNow,
-                                std::chrono::milliseconds aWindow) const
+std::uint64_t SlidingWindowCounter::Sum(TimePoint aNow,
+                                        std::chrono::milliseconds aWindow) const
 {
   const std::int64_t number = SliceOf(aNow, aWindow);
   std::uint64_t sum = 0;
@@ -46,29 +47,30 @@
                              std::size_t aHosts,
                              TimePoint aNow)
 {
-  if (Left(aService, aHosts, aNow) < 1) {
+  if (Remaining(aService, aHosts, aNow) < 1) {
     return false;
   }
-  services_[aService].repeats_.Add(aNow, options_.window_);
+  services_[aService].retries_.Add(aNow, options_.window_);
   return true;
 }
 
-double RepeatBudget::Left(const std::string& aService,
-                          std::size_t aHosts,
-                          TimePoint aNow) const
+double RepeatBudget::Remaining(const std::string& aService,
+                               std::size_t aHosts,
+                               TimePoint aNow) const
 {
   const double share =
     options_.allowance_ / static_cast<double>(std::max<std::size_t>(aHosts, 1));
   const auto found = services_.find(aService);
   double requests = 0;
-  double repeats = 0;
+  double retries = 0;
   if (found != services_.end()) {
     const Counts& counts = found->second;
     requests =
       static_cast<double>(counts.requests_.Sum(aNow, options_.window_));
-    repeats = static_cast<double>(counts.repeats_.Sum(aNow, options_.window_));
+    retries = static_cast<double>(counts.retries_.Sum(aNow, options_.window_));
   }
-  return (options_.ratio_ * requests + share) * options_.safety_ - repeats;
+  return (options_.ratio_ * requests + share) * options_.safetyFactor_ -
+         retries;
 }
 
 } // namespace gooseberrylift
--- a/src/core/limits/gooseberrylift-route-admission.cc
+++ b/src/core/limits/gooseberrylift-route-admission.cc
@@ -8,40 +8,40 @@
 
 namespace {
 
-// The part of the time at hand that a prediction may take: predictions of the
-// first answer are off by a quarter at times, and one that fits in barely
-// leaves no time for the rest of the answer.
-constexpr double kUsable = 0.8;
-constexpr milliseconds kSoonest{ 100 }; // a pass or two of an engine
-// Callers come back after at most a third of the time they have left.
-constexpr int kLatestPart = 3;
+// The share of the available time that a prediction may use. Predictions of the
+// first token are off by a quarter at times, and one that barely fits leaves no
+// time for the rest of the response.
+constexpr double kUsableShare = 0.8;
+// One or two batch steps of an engine.
+constexpr milliseconds kMinRetryDelay{ 100 };
+// Callers retry after at most a third of their remaining time.
+constexpr int kMaxRetryDivisor = 3;
 
 } // namespace
 
-std::optional<milliseconds> RefuseFor(const AdmissionQuestion& aQuestion)
+std::optional<milliseconds> RefuseFor(const AdmissionQuestion& aInput)
 {
-  const milliseconds atHand =
-    std::min(aQuestion.remaining_, aQuestion.patience_);
-  // One that was held is tried as long as it may come in time at all: to its
-  // caller that is better than a refusal after a wait.
-  const auto usable =
-    std::min(std::chrono::duration_cast<milliseconds>(
-               std::chrono::duration<double, std::milli>(atHand) * kUsable),
-             aQuestion.patience_ - aQuestion.held_);
+  const milliseconds available = std::min(aInput.remaining_, aInput.patience_);
+  // A request that was held is admitted as long as it can complete in time at
+  // all: for its caller that is better than a rejection after a wait.
+  const auto usable = std::min(
+    std::chrono::duration_cast<milliseconds>(
+      std::chrono::duration<double, std::milli>(available) * kUsableShare),
+    aInput.patience_ - aInput.held_);
   const auto predicted =
-    std::chrono::duration_cast<milliseconds>(aQuestion.predicted_);
+    std::chrono::duration_cast<milliseconds>(aInput.predicted_);
   if (predicted <= usable) {
     return std::nullopt;
   }
-  const milliseconds excess = std::max(predicted - usable, kSoonest);
-  const milliseconds spread(aQuestion.draw_ %
+  const milliseconds excess = std::max(predicted - usable, kMinRetryDelay);
+  const milliseconds spread(aInput.draw_ %
                             static_cast<std::uint64_t>(excess.count()));
-  return std::min(excess + spread, LatestReturnOf(aQuestion.remaining_));
+  return std::min(excess + spread, LatestReturnOf(aInput.remaining_));
 }
 
 milliseconds LatestReturnOf(milliseconds aRemaining)
 {
-  return std::max(aRemaining / kLatestPart, kSoonest);
+  return std::max(aRemaining / kMaxRetryDivisor, kMinRetryDelay);
 }
 
 } // namespace gooseberrylift
--- a/test/core/gooseberrylift-repeat-budget-test.cc
+++ b/test/core/gooseberrylift-repeat-budget-test.cc
@@ -10,9 +10,9 @@
 
 TEST_GROUP(RepeatBudgetTest){};
 
-TEST(RepeatBudgetTest, AllowsItsShareOfTheAllowanceAndNoMore)
+TEST(RepeatBudgetTest, AllowsEvenShareOfAllowance)
 {
-  RepeatBudget budget({ .ratio_ = 0.2, .allowance_ = 100, .safety_ = 1 });
+  RepeatBudget budget({ .ratio_ = 0.2, .allowance_ = 100, .safetyFactor_ = 1 });
   int allowed = 0;
   for (int count = 0; count < 100; ++count) {
     allowed += budget.TryRepeat("engines", 5, TimePoint(100s)) ? 1 : 0;
@@ -20,19 +20,18 @@
   LONGS_EQUAL(20, allowed);
 }
 
-TEST(RepeatBudgetTest, CountsServicesApart)
+TEST(RepeatBudgetTest, CountsEachServiceSeparately)
 {
-  RepeatBudget budget({ .ratio_ = 0, .allowance_ = 1, .safety_ = 1 });
+  RepeatBudget budget({ .ratio_ = 0, .allowance_ = 1, .safetyFactor_ = 1 });
   CHECK_TRUE(budget.TryRepeat("a", 1, TimePoint(100s)));
   CHECK_FALSE(budget.TryRepeat("a", 1, TimePoint(100s)));
   CHECK_TRUE(budget.TryRepeat("b", 1, TimePoint(100s)));
 }
 
-// What the endpoints see: six hosts that all want to repeat every request, in
-// bursts and pauses. In no window of ten seconds, wherever it begins, are there
-// more repeats than a fifth of the requests and the allowance, though no host
-// hears of another.
-TEST(RepeatBudgetTest, StaysBelowTheBoundInEveryWindowOverAllHosts)
+// Six hosts without any communication try to retry every request, under bursty
+// load. In no window of ten seconds, aligned or not, may the retries exceed a
+// fifth of the requests plus the allowance.
+TEST(RepeatBudgetTest, LimitHoldsOverAllHostsInEveryWindow)
 {
   constexpr std::size_t kHosts = 6;
   constexpr auto kWindow = 10s;
@@ -40,7 +39,7 @@
   std::vector<RepeatBudget> budgets(kHosts,
                                     RepeatBudget(RepeatBudget::Options{}));
   std::deque<TimePoint> requests;
-  std::deque<TimePoint> repeats;
+  std::deque<TimePoint> retries;
   TimePoint now(1000s);
   for (int step = 0; step < 60'000; ++step) {
     const bool burst = (step / 6'000) % 2 == 0;
@@ -49,14 +48,14 @@
     budget.OnRequest("engines", now);
     requests.push_back(now);
     if (budget.TryRepeat("engines", kHosts, now)) {
-      repeats.push_back(now);
+      retries.push_back(now);
     }
-    for (auto* times : { &requests, &repeats }) {
+    for (auto* times : { &requests, &retries }) {
       while (times->front() <= now - kWindow) {
         times->pop_front();
       }
     }
-    CHECK_TRUE(static_cast<double>(repeats.size()) <=
+    CHECK_TRUE(static_cast<double>(retries.size()) <=
                0.2 * static_cast<double>(requests.size()) + 100);
   }
 }
