--- a/test/core/gooseberrylift-patience-test.cc
+++ b/test/core/gooseberrylift-patience-test.cc
@@ -7,16 +7,17 @@
 
 TEST_GROUP(PatienceTest)
 {
-  // Waits for its first answer at an engine with free slots that says nothing.
-  EndpointSigns signs_{ .silentHere_ = 1s, .silent_ = 1s, .slots_ = 16 };
+  // A request that waits for its first event, at an engine that has free slots
+  // and sends nothing.
+  EndpointSigns activity_{ .silentHere_ = 1s, .silent_ = 1s, .slots_ = 16 };
 
-  bool Hangs() const
+  bool IsStalled() const
   {
-    return LooksHung(signs_, 1s);
+    return LooksHung(activity_, 1s);
   }
 };
 
-TEST(PatienceTest, LeavesAStreamItsEngineForHalfOfWhatTheCallerBears)
+TEST(PatienceTest, EndpointTimeoutOfStreamIsHalfOfCallerTimeout)
 {
   const Route route{ .kind_ = RouteKind::kStreaming,
                      .objective_ = 300ms,
@@ -25,52 +26,52 @@
   LONGS_EQUAL(1'000, SilenceLimit(route).count());
 }
 
-TEST(PatienceTest, TakesAnEngineThatIsSilentToAllForHung)
+TEST(PatienceTest, StalledIfEngineSendsNothingToAnyRequest)
 {
-  CHECK_TRUE(Hangs());
-  signs_.running_ = 16;
-  CHECK_TRUE(Hangs());
-  signs_.silentToPeers_ = 1'200ms;
-  CHECK_TRUE(Hangs());
+  CHECK_TRUE(IsStalled());
+  activity_.running_ = 16;
+  CHECK_TRUE(IsStalled());
+  activity_.silentToPeers_ = 1'200ms;
+  CHECK_TRUE(IsStalled());
 }
 
-TEST(PatienceTest, WaitsItsTurnAtAFullEngineThatAnswersOthers)
+TEST(PatienceTest, QueuedAtSaturatedEngineThatAnswersPeers)
 {
-  signs_.running_ = 16;
-  signs_.silentToPeers_ = 80ms;
-  CHECK_FALSE(Hangs());
-  signs_.running_ = 5; // nothing there to wait for
-  CHECK_TRUE(Hangs());
+  activity_.running_ = 16;
+  activity_.silentToPeers_ = 80ms;
+  CHECK_FALSE(IsStalled());
+  activity_.running_ = 5; // free slots
+  CHECK_TRUE(IsStalled());
 }
 
-TEST(PatienceTest, WaitsItsTurnAtAnEngineThatAnswersThisHost)
+TEST(PatienceTest, QueuedAtEngineThatAnswersThisHost)
 {
-  signs_.silent_ = 60ms;
-  CHECK_FALSE(Hangs());
-  signs_.overtaken_ = true;
-  CHECK_TRUE(Hangs());
+  activity_.silent_ = 60ms;
+  CHECK_FALSE(IsStalled());
+  activity_.overtaken_ = true;
+  CHECK_TRUE(IsStalled());
 }
 
-// A read of a long prompt keeps the engine silent to all, but half of the limit
-// more is all that it may cost: then another engine still has time.
-TEST(PatienceTest, GivesALongReadSomeTime)
+// An engine sends nothing while it prefills a long prompt. The timeout is
+// extended for that by at most a half, so that another engine still has time.
+TEST(PatienceTest, LongPrefillExtendsTimeoutByHalfAtMost)
 {
-  signs_.backlog_ = 3s;
-  CHECK_FALSE(Hangs());
-  signs_.silent_ = 1'499ms;
-  CHECK_FALSE(Hangs());
-  signs_.silent_ = 1'500ms;
-  CHECK_TRUE(Hangs());
+  activity_.backlog_ = 3s;
+  CHECK_FALSE(IsStalled());
+  activity_.silent_ = 1'499ms;
+  CHECK_FALSE(IsStalled());
+  activity_.silent_ = 1'500ms;
+  CHECK_TRUE(IsStalled());
 }
 
-// The caller's stream stops though its engine goes on with others: it is lost
-// there, and goes on elsewhere. The pieces of one pass come one by one, so a
-// moment is allowed.
-TEST(PatienceTest, LeavesAStreamThatStopsWhileItsEngineWritesOthers)
+// A stream that stops while its engine continues others is lost there and has
+// to be resumed elsewhere. A short delay is allowed, because the events of one
+// batch step arrive one after the other.
+TEST(PatienceTest, StalledIfEngineContinuesOtherStreamsOnly)
 {
-  signs_.begun_ = true;
-  signs_.silent_ = 20ms;
-  CHECK_FALSE(Hangs());
-  signs_.silentHere_ = 1'100ms;
-  CHECK_TRUE(Hangs());
+  activity_.begun_ = true;
+  activity_.silent_ = 20ms;
+  CHECK_FALSE(IsStalled());
+  activity_.silentHere_ = 1'100ms;
+  CHECK_TRUE(IsStalled());
 }
--- a/test/core/gooseberrylift-rate-permits-test.cc
+++ b/test/core/gooseberrylift-rate-permits-test.cc
@@ -16,11 +16,11 @@
   return RateGranter(RateGranter::Options{});
 }
 
-// Asks each few ms for a while and counts the permits.
-int Granted(RateGranter& aGranter,
-            double aPerSecond,
-            TimePoint aFrom,
-            std::chrono::milliseconds aFor)
+// Requests permits every 5 ms for a while and returns the number granted.
+int CountGranted(RateGranter& aGranter,
+                 double aPerSecond,
+                 TimePoint aFrom,
+                 std::chrono::milliseconds aFor)
 {
   int permits = 0;
   for (auto at = 0ms; at < aFor; at += 5ms) {
@@ -33,41 +33,41 @@
 
 TEST_GROUP(RateGranterTest){};
 
-TEST(RateGranterTest, GrantsNothingUntilWhatWasSentBeforeHasSettled)
+TEST(RateGranterTest, GrantsNothingDuringSettleTime)
 {
   RateGranter granter = MakeGranter();
-  LONGS_EQUAL(0, Granted(granter, 100, TimePoint(100s), 1995ms));
-  CHECK_TRUE(Granted(granter, 100, TimePoint(102s), 100ms) > 0);
+  LONGS_EQUAL(0, CountGranted(granter, 100, TimePoint(100s), 1995ms));
+  CHECK_TRUE(CountGranted(granter, 100, TimePoint(102s), 100ms) > 0);
 }
 
-TEST(RateGranterTest, GrantsTheRateAndNoMore)
+TEST(RateGranterTest, GrantsAtLimitRate)
 {
   for (const double perSecond : { 0.5, 1.5, 7.0, 40.0, 300.0, 1e6 }) {
     RateGranter granter = MakeGranter();
     granter.Ask(kEngine, perSecond, 1, TimePoint(100s));
-    const int permits = Granted(granter, perSecond, TimePoint(102s), 20s);
+    const int permits = CountGranted(granter, perSecond, TimePoint(102s), 20s);
     const double cover = perSecond * 0.1;
     CHECK_TRUE(permits <= perSecond * 20 + 2 + cover);
     CHECK_TRUE(permits >= perSecond * 20 * 0.9 - 1);
   }
 }
 
-TEST(RateGranterTest, SavesNoPermitsWhileNobodyAsks)
+TEST(RateGranterTest, UnusedPermitsDoNotAccumulate)
 {
   RateGranter granter = MakeGranter();
   granter.Ask(kEngine, 2, 1, TimePoint(100s));
-  LONGS_EQUAL(2, Granted(granter, 2, TimePoint(140s), 100ms));
+  LONGS_EQUAL(2, CountGranted(granter, 2, TimePoint(140s), 100ms));
 }
 
-TEST(RateGranterTest, TriesAnEndpointThatTakesNothingNowAndThen)
+TEST(RateGranterTest, GrantsMinimumRateForLimitOfZero)
 {
   RateGranter granter = MakeGranter();
   granter.Ask(kEngine, 0, 1, TimePoint(100s));
-  const int permits = Granted(granter, 0, TimePoint(102s), 40s);
+  const int permits = CountGranted(granter, 0, TimePoint(102s), 40s);
   CHECK_TRUE(permits >= 9 && permits <= 11);
 }
 
-TEST(RateGranterTest, GrantsWhatItCanCountOfARateBeyondAllBounds)
+TEST(RateGranterTest, ClampsExcessiveLimit)
 {
   RateGranter granter = MakeGranter();
   granter.Ask(kEngine, 1e300, 1, TimePoint(100s));
@@ -75,7 +75,7 @@
               granter.Ask(kEngine, 1e300, 1, TimePoint(102s)).permits_);
 }
 
-TEST(RateGranterTest, GrantsItsPartOnlyWhileItHearsNoOtherHost)
+TEST(RateGranterTest, GrantsEvenShareWithSeveralGranters)
 {
   RateGranter granter({ .phase_ = 0.5 });
   granter.Ask(kEngine, 3, 6, TimePoint(100s));
@@ -86,23 +86,24 @@
   LONGS_EQUAL(10, permits);
 }
 
-TEST(RateGranterTest, TellsEachHostATurnOfItsOwnToComeBack)
+TEST(RateGranterTest, SpreadsRetryTimesOfWaitingHosts)
 {
   RateGranter granter = MakeGranter();
-  std::set<std::int64_t> turns;
+  std::set<std::int64_t> retryTimes;
   for (int host = 0; host < 5; ++host) {
-    turns.insert(granter.Ask(kEngine, 2, 1, TimePoint(100s)).retryIn_.count());
+    retryTimes.insert(
+      granter.Ask(kEngine, 2, 1, TimePoint(100s)).retryIn_.count());
   }
-  LONGS_EQUAL(5, turns.size());
-  LONGS_EQUAL(2000, *turns.begin());
-  LONGS_EQUAL(4000, *turns.rbegin());
-  // However many there are, none is sent away for long.
+  LONGS_EQUAL(5, retryTimes.size());
+  LONGS_EQUAL(2000, *retryTimes.begin());
+  LONGS_EQUAL(4000, *retryTimes.rbegin());
+  // The retry delay is bounded for any number of hosts.
   for (int host = 0; host < 300; ++host) {
     CHECK_TRUE(granter.Ask(kEngine, 2, 1, TimePoint(100s)).retryIn_ <= 10s);
   }
 }
 
-TEST(RateGranterTest, IsChosenAlikeAndMovesOnlyWithItsOwnLoss)
+TEST(RateGranterTest, ChoiceIsConsistentAndMovesOnlyOnLossOfChosenHost)
 {
   std::vector<std::string> hosts{ "a", "b", "c", "d", "e" };
   std::set<std::string> chosen;
@@ -122,7 +123,7 @@
 
 TEST_GROUP(RatePermitsTest){};
 
-TEST(RatePermitsTest, UsesEachPermitOnce)
+TEST(RatePermitsTest, ConsumesEachPermitOnce)
 {
   RatePermits permits({});
   CHECK_FALSE(permits.Take(kEngine, TimePoint(1s)));
@@ -134,7 +135,7 @@
   CHECK_FALSE(permits.Take(kEngine, TimePoint(1s)));
 }
 
-TEST(RatePermitsTest, VoidsPermitsASecondAfterTheyWereAskedFor)
+TEST(RatePermitsTest, PermitsExpireOneSecondAfterRequest)
 {
   RatePermits permits({});
   permits.BeginAsking(kEngine, TimePoint(1s));
@@ -143,7 +144,7 @@
   CHECK_FALSE(permits.Take(kEngine, TimePoint(2s)));
 }
 
-TEST(RatePermitsTest, AsksAgainWhenItWasTold)
+TEST(RatePermitsTest, RequestsAgainAfterRetryDelay)
 {
   RatePermits permits({});
   permits.BeginAsking(kEngine, TimePoint(1s));
@@ -156,7 +157,7 @@
   LONGS_EQUAL(500, permits.OpensIn(kEngine, TimePoint(2s)).count());
 }
 
-TEST(RatePermitsTest, TakesNoPermitsForAnEndpointThatWasForgotten)
+TEST(RatePermitsTest, IgnoresPermitsForRemovedEndpoint)
 {
   RatePermits permits({});
   permits.BeginAsking(kEngine, TimePoint(1s));
--- a/test/core/gooseberrylift-rate-schedules-test.cc
+++ b/test/core/gooseberrylift-rate-schedules-test.cc
@@ -1,6 +1,7 @@
-// Random schedules of many hosts before one endpoint with a rate limit, on
-// virtual time: questions that are lost and late, hosts that stand still, die,
-// return and join, and hosts that know of each other late.
+// Simulates many hosts that share one endpoint with a rate limit, in virtual
+// time and with random faults: lost and delayed permit requests, hosts that
+// pause, crash, restart and join, and hosts that detect each other's state
+// late.
 
 #include "gooseberrylift/limits/gooseberrylift-rate-granter.h"
 #include "gooseberrylift/limits/gooseberrylift-rate-permits.h"
@@ -24,35 +25,35 @@
 
 const Incarnation kEngine{ .id_ = "engine-1" };
 constexpr milliseconds kStep{ 5 };
-constexpr milliseconds kDay{ 40'000 };
-constexpr milliseconds kPromised{ 3'000 }; // the bound holds from then on
+constexpr milliseconds kDuration{ 40'000 };
+constexpr milliseconds kWarmUp{ 3'000 }; // the limit is checked from then on
 constexpr milliseconds kWindow{ 4'000 };
-// What a host sends so soon after it stood still or started does not count.
-constexpr milliseconds kExcused{ 3'000 };
+// Requests of a host that was paused or restarted more recently don't count.
+constexpr milliseconds kRecoveryGrace{ 3'000 };
 
 struct Schedule
 {
   int hosts_ = 9;
   double perSecond_ = 1.5;
-  double demand_ = 100; // requests a second over all hosts, to this endpoint
-  // How long a host's words take to the others, at least and at most, and how
-  // long it is taken for alive after the last one.
-  milliseconds soonest_{ 50 };
-  milliseconds latest_{ 400 };
-  milliseconds gone_{ 2'250 };
-  bool grantsForItself_ = false;
-  std::size_t granters_ = 1; // that each host believes in
-  bool calm_ = false;        // no host stands still or starts again
+  double demand_ = 100; // requests per second to the endpoint, over all hosts
+  // Bounds of the delay of heartbeats between hosts, and the time after the
+  // last heartbeat for which a host counts as alive.
+  milliseconds minDelay_{ 50 };
+  milliseconds maxDelay_{ 400 };
+  milliseconds peerTimeout_{ 2'250 };
+  bool selfGranting_ = false;
+  std::size_t granters_ = 1; // number that each host assumes
+  bool faultFree_ = false;   // no host pauses or restarts
 };
 
 struct Host
 {
   std::string name_;
   std::size_t number_ = 0;
-  double weight_ = 1;      // its part of the demand
-  milliseconds late_{ 0 }; // words of others come so late
-  TimePoint upFrom_{};
-  TimePoint stillUntil_{};
+  double demandWeight_ = 1;     // relative to other hosts
+  milliseconds peerDelay_{ 0 }; // delay of peers' heartbeats
+  TimePoint runningFrom_{};
+  TimePoint pausedUntil_{};
   RatePermits permits_{ RatePermits::Options{} };
   std::unique_ptr<RateGranter> granter_;
 };
@@ -67,25 +68,26 @@
     for (int number = 0; number < schedule_.hosts_; ++number) {
       Host host{ .name_ = "host-" + std::to_string(number),
                  .number_ = static_cast<std::size_t>(number),
-                 .weight_ = Chance(0.2) ? 5.0 : 0.5,
-                 .late_ = Span(schedule_.soonest_, schedule_.latest_) };
-      StartAgain(host, TimePoint(0s));
+                 .demandWeight_ = RandomChance(0.2) ? 5.0 : 0.5,
+                 .peerDelay_ =
+                   RandomDuration(schedule_.minDelay_, schedule_.maxDelay_) };
+      Restart(host, TimePoint(0s));
       hosts_.push_back(std::move(host));
     }
   }
 
-  /// Plays the day and gives the most arrivals in a window.
-  std::size_t Play()
+  /// Runs the simulation and returns the maximum of arrivals in any window.
+  std::size_t Run()
   {
-    for (now_ = TimePoint(0s); now_ < TimePoint(kDay); now_ += kStep) {
-      NoteUp();
-      Deliver();
-      Disturb();
+    for (now_ = TimePoint(0s); now_ < TimePoint(kDuration); now_ += kStep) {
+      RecordRunning();
+      RunEvents();
+      InjectFault();
       for (Host& host : hosts_) {
         SendFrom(host);
       }
     }
-    return most_;
+    return maxInWindow_;
   }
 
   std::size_t Sent() const { return sent_; }
@@ -98,61 +100,63 @@
     bool operator<(const Event& aOther) const { return at_ > aOther.at_; }
   };
 
-  bool Chance(double aOf)
+  bool RandomChance(double aOf)
   {
     return std::uniform_real_distribution<>(0, 1)(random_) < aOf;
   }
 
-  milliseconds Span(milliseconds aFrom, milliseconds aTo)
+  milliseconds RandomDuration(milliseconds aFrom, milliseconds aTo)
   {
     return milliseconds(std::uniform_int_distribution<std::int64_t>(
       aFrom.count(), aTo.count())(random_));
   }
 
-  void StartAgain(Host& aHost, TimePoint aAt)
+  void Restart(Host& aHost, TimePoint aAt)
   {
-    aHost.upFrom_ = aAt;
+    aHost.runningFrom_ = aAt;
     aHost.permits_ = RatePermits(RatePermits::Options{});
     aHost.granter_ = std::make_unique<RateGranter>(RateGranter::Options{
       .phase_ = std::uniform_real_distribution<>(0, 1)(random_) });
   }
 
-  bool IsUp(const Host& aHost) const
+  bool IsRunning(const Host& aHost) const
   {
-    return now_ >= aHost.upFrom_ && now_ >= aHost.stillUntil_;
+    return now_ >= aHost.runningFrom_ && now_ >= aHost.pausedUntil_;
   }
 
-  // Notes when each host was up last, as far as this step.
-  void NoteUp()
+  // Records, for this step, when each host was last running.
+  void RecordRunning()
   {
-    std::vector<TimePoint> up(hosts_.size(), TimePoint(-100s));
+    std::vector<TimePoint> running(hosts_.size(), TimePoint(-100s));
     for (std::size_t number = 0; number < hosts_.size(); ++number) {
-      if (IsUp(hosts_[number])) {
-        up[number] = now_;
-      } else if (!up_.empty()) {
-        up[number] = up_.back()[number];
+      if (IsRunning(hosts_[number])) {
+        running[number] = now_;
+      } else if (!lastRunning_.empty()) {
+        running[number] = lastRunning_.back()[number];
       }
     }
-    up_.push_back(std::move(up));
+    lastRunning_.push_back(std::move(running));
   }
 
-  // Whom a host takes for alive, itself included.
-  std::vector<std::string> Seen(const Host& aHost) const
+  // Returns the hosts that a host considers alive, itself included.
+  std::vector<std::string> KnownHosts(const Host& aHost) const
   {
     const auto back =
-      std::min<std::size_t>(aHost.late_ / kStep, up_.size() - 1);
-    const std::vector<TimePoint>& up = up_[up_.size() - 1 - back];
-    std::vector<std::string> seen;
+      std::min<std::size_t>(aHost.peerDelay_ / kStep, lastRunning_.size() - 1);
+    const std::vector<TimePoint>& running =
+      lastRunning_[lastRunning_.size() - 1 - back];
+    std::vector<std::string> known;
     for (const Host& host : hosts_) {
       if (host.number_ == aHost.number_ ||
-          now_ - up[host.number_] <= schedule_.gone_ + aHost.late_) {
-        seen.push_back(host.name_);
+          now_ - running[host.number_] <=
+            schedule_.peerTimeout_ + aHost.peerDelay_) {
+        known.push_back(host.name_);
       }
     }
-    return seen;
+    return known;
   }
 
-  void Deliver()
+  void RunEvents()
   {
     while (!events_.empty() && events_.top().at_ <= now_) {
       const auto run = events_.top().run_;
@@ -161,29 +165,31 @@
     }
   }
 
-  void Disturb()
+  void InjectFault()
   {
-    if (schedule_.calm_) {
+    if (schedule_.faultFree_) {
       return;
     }
     Host& host = hosts_[random_() % hosts_.size()];
-    const double each = 0.4 * std::chrono::duration<double>(kStep).count();
-    if (Chance(each)) {
-      StartAgain(host, now_ + Span(500ms, 6s));
-    } else if (Chance(each)) {
-      host.stillUntil_ = now_ + Span(200ms, 6s);
+    const double probability =
+      0.4 * std::chrono::duration<double>(kStep).count();
+    if (RandomChance(probability)) {
+      Restart(host, now_ + RandomDuration(500ms, 6s));
+    } else if (RandomChance(probability)) {
+      host.pausedUntil_ = now_ + RandomDuration(200ms, 6s);
     }
   }
 
   void SendFrom(Host& aHost)
   {
-    const double total = schedule_.demand_ / schedule_.hosts_ * aHost.weight_;
-    if (!IsUp(aHost) ||
-        !Chance(total * std::chrono::duration<double>(kStep).count())) {
+    const double total =
+      schedule_.demand_ / schedule_.hosts_ * aHost.demandWeight_;
+    if (!IsRunning(aHost) ||
+        !RandomChance(total * std::chrono::duration<double>(kStep).count())) {
       return;
     }
     if (aHost.permits_.Take(kEngine, now_)) {
-      Arrive(aHost);
+      RecordArrival(aHost);
     } else if (aHost.permits_.BeginAsking(kEngine, now_)) {
       Ask(aHost);
     }
@@ -191,138 +197,147 @@
 
   void Ask(Host& aHost)
   {
-    const std::string first = schedule_.grantsForItself_
-                                ? aHost.name_
-                                : GranterOf(kEngine, Seen(aHost));
-    Host* asker = &aHost;
-    if (Chance(0.05)) { // the question or its answer is lost
-      After(300ms,
-            [this, asker] { asker->permits_.OnUnanswered(kEngine, now_); });
+    const std::string granter = schedule_.selfGranting_
+                                  ? aHost.name_
+                                  : GranterOf(kEngine, KnownHosts(aHost));
+    Host* requester = &aHost;
+    if (RandomChance(0.05)) { // the permit request or its response is lost
+      RunAfter(300ms, [this, requester] {
+        requester->permits_.OnUnanswered(kEngine, now_);
+      });
       return;
     }
-    After(Span(1ms, 60ms), [this, asker, first] { Answer(*asker, first); });
+    RunAfter(RandomDuration(1ms, 60ms), [this, requester, granter] {
+      HandlePermitRequest(*requester, granter);
+    });
   }
 
-  void Answer(Host& aAsker, const std::string& aFirst)
+  void HandlePermitRequest(Host& aRequester, const std::string& aGranter)
   {
     const auto found =
       std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& aHost) {
-        return aHost.name_ == aFirst;
+        return aHost.name_ == aGranter;
       });
     const bool grants =
-      IsUp(*found) && (schedule_.grantsForItself_ ||
-                       GranterOf(kEngine, Seen(*found)) == found->name_);
-    Host* asker = &aAsker;
+      IsRunning(*found) &&
+      (schedule_.selfGranting_ ||
+       GranterOf(kEngine, KnownHosts(*found)) == found->name_);
+    Host* requester = &aRequester;
     if (!grants) {
-      After(300ms,
-            [this, asker] { asker->permits_.OnUnanswered(kEngine, now_); });
+      RunAfter(300ms, [this, requester] {
+        requester->permits_.OnUnanswered(kEngine, now_);
+      });
       return;
     }
-    const RateVerdict verdict = found->granter_->Ask(
+    const RateVerdict grant = found->granter_->Ask(
       kEngine, schedule_.perSecond_, schedule_.granters_, now_);
-    After(Span(1ms, 60ms), [this, asker, verdict] {
-      asker->permits_.OnVerdict(kEngine, verdict, now_);
+    RunAfter(RandomDuration(1ms, 60ms), [this, requester, grant] {
+      requester->permits_.OnVerdict(kEngine, grant, now_);
     });
   }
 
-  void After(milliseconds aTime, std::function<void()> aRun)
+  void RunAfter(milliseconds aTime, std::function<void()> aRun)
   {
     events_.push({ now_ + aTime, std::move(aRun) });
   }
 
-  void Arrive(const Host& aHost)
+  void RecordArrival(const Host& aHost)
   {
     ++sent_;
-    const TimePoint back = std::max(aHost.upFrom_, aHost.stillUntil_);
-    if (now_ < TimePoint(kPromised) || now_ - back < kExcused) {
+    const TimePoint back = std::max(aHost.runningFrom_, aHost.pausedUntil_);
+    if (now_ < TimePoint(kWarmUp) || now_ - back < kRecoveryGrace) {
       return;
     }
     window_.push_back(now_);
     while (now_ - window_.front() > kWindow) {
       window_.pop_front();
     }
-    most_ = std::max(most_, window_.size());
+    maxInWindow_ = std::max(maxInWindow_, window_.size());
   }
 
   Schedule schedule_;
   std::mt19937_64 random_;
   TimePoint now_{};
   std::vector<Host> hosts_;
-  std::vector<std::vector<TimePoint>> up_; // by step and host
+  std::vector<std::vector<TimePoint>> lastRunning_; // by step and host
   std::priority_queue<Event> events_;
   std::deque<TimePoint> window_;
-  std::size_t most_ = 0;
+  std::size_t maxInWindow_ = 0;
   std::size_t sent_ = 0;
 };
 
-// Counts the seeds on which the endpoint gets too much.
-int Broken(const Schedule& aSchedule, int aSeeds)
+// Returns the number of seeds for which the endpoint receives too many
+// requests.
+int CountOverloadedSeeds(const Schedule& aSchedule, int aSeeds)
 {
   const double allowed = 1.5 * aSchedule.perSecond_ * 4 + 5;
-  int broken = 0;
+  int overloaded = 0;
   for (int seed = 1; seed <= aSeeds; ++seed) {
     Fleet fleet(aSchedule, static_cast<std::uint64_t>(seed));
-    broken += static_cast<double>(fleet.Play()) > allowed ? 1 : 0;
+    overloaded += static_cast<double>(fleet.Run()) > allowed ? 1 : 0;
   }
-  return broken;
+  return overloaded;
 }
 
 } // namespace
 
 TEST_GROUP(RateSchedulesTest){};
 
-TEST(RateSchedulesTest, NeverFloodALimitedEndpointInFleetsThatKnowEachOtherSoon)
+TEST(RateSchedulesTest, LimitHoldsWithShortHeartbeatDelays)
 {
   for (const int hosts : { 2, 6, 9, 32 }) {
     for (const double perSecond : { 0.0, 0.5, 1.5, 2.2, 10.0 }) {
-      LONGS_EQUAL(0, Broken({ .hosts_ = hosts, .perSecond_ = perSecond }, 10));
+      LONGS_EQUAL(
+        0,
+        CountOverloadedSeeds({ .hosts_ = hosts, .perSecond_ = perSecond }, 10));
     }
   }
 }
 
-TEST(RateSchedulesTest, NeverFloodALimitedEndpointInLargeFleets)
+TEST(RateSchedulesTest, LimitHoldsInLargeFleets)
 {
   for (const int hosts : { 60, 300 }) {
     LONGS_EQUAL(0,
-                Broken({ .hosts_ = hosts,
-                         .demand_ = 1000,
-                         .soonest_ = 300ms,
-                         .latest_ = 3'000ms,
-                         .gone_ = 9'000ms },
-                       3));
+                CountOverloadedSeeds({ .hosts_ = hosts,
+                                       .demand_ = 1000,
+                                       .minDelay_ = 300ms,
+                                       .maxDelay_ = 3'000ms,
+                                       .peerTimeout_ = 9'000ms },
+                                     3));
   }
 }
 
-TEST(RateSchedulesTest, GiveALimitedEndpointMostOfWhatItTakesInACalmFleet)
+TEST(RateSchedulesTest, UsesMostOfLimitWithoutFaults)
 {
   for (const int hosts : { 2, 9, 32, 100 }) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Fleet fleet({ .hosts_ = hosts,
                     .perSecond_ = 2,
                     .demand_ = 10.0 * hosts,
-                    .calm_ = true },
+                    .faultFree_ = true },
                   seed);
-      fleet.Play();
+      fleet.Run();
       CHECK_TRUE(fleet.Sent() > 2 * 38 * 0.8);
     }
   }
 }
 
-TEST(RateSchedulesTest, NeverFloodALimitedEndpointWhenNoHostHearsAnother)
+TEST(RateSchedulesTest, LimitHoldsWhenAllHostsAreDisconnected)
 {
   for (const std::size_t hosts : { 2U, 6U, 9U }) {
     for (const double perSecond : { 0.0, 1.5, 10.0 }) {
       LONGS_EQUAL(0,
-                  Broken({ .hosts_ = static_cast<int>(hosts),
-                           .perSecond_ = perSecond,
-                           .grantsForItself_ = true,
-                           .granters_ = hosts },
-                         10));
+                  CountOverloadedSeeds({ .hosts_ = static_cast<int>(hosts),
+                                         .perSecond_ = perSecond,
+                                         .selfGranting_ = true,
+                                         .granters_ = hosts },
+                                       10));
     }
   }
 }
 
-TEST(RateSchedulesTest, FloodItWhenEachHostGrantsForItself)
+TEST(RateSchedulesTest, LimitIsExceededIfEachHostGrantsFullRate)
 {
-  CHECK_TRUE(Broken({ .hosts_ = 9, .grantsForItself_ = true }, 5) > 0);
+  CHECK_TRUE(CountOverloadedSeeds({ .hosts_ = 9, .selfGranting_ = true }, 5) >
+             0);
 }
