--- a/include/gooseberrylift/limits/gooseberrylift-patience.h
+++ b/include/gooseberrylift/limits/gooseberrylift-patience.h
@@ -27,7 +27,7 @@
 /// many requests just then.
 std::chrono::milliseconds SilenceLimit(const Route& aRoute);
 
-// When an endpoint last sent data, and its load, from the view of a request
+// When an endpoint last sent data, and its load, as seen by a request
 // that waits for its response or for more of it.
 struct EndpointSigns
 {
--- a/src/core/limits/gooseberrylift-long-hold.cc
+++ b/src/core/limits/gooseberrylift-long-hold.cc
@@ -14,10 +14,10 @@
     return HoldVerdict::kHold;
   }
   constexpr double kMicrosPerSecond = 1e6;
-  const double readSeconds = std::max(
+  const double prefillSeconds = std::max(
     static_cast<double>(aInput.read_.count()) / kMicrosPerSecond, 1e-3);
   const double factor =
-    std::clamp(1 / readSeconds, aOptions.leastFactor_, aOptions.mostFactor_);
+    std::clamp(1 / prefillSeconds, aOptions.leastFactor_, aOptions.mostFactor_);
   const bool missesObjective =
     aInput.objective_.count() > 0 &&
     aInput.waited_ + aInput.part_ > aInput.objective_;
