--- a/include/gooseberrylift/membership/gooseberrylift-freshness-lease.h
+++ b/include/gooseberrylift/membership/gooseberrylift-freshness-lease.h
@@ -1,7 +1,7 @@
-// Decides whether this host may still let in callers by their keys. The load
-// it answers: keys that are taken away while a host is cut off from the store,
-// paused, or fed by a watch that has gone mute. Without it such a host goes on
-// serving a revoked key for as long as the fault lasts.
+// Decides whether this host's configuration is fresh enough to authenticate
+// callers by their keys. Without this check, a host that is partitioned from
+// the store, paused, or fed by a stalled watch would keep accepting a revoked
+// key for as long as the fault lasts.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_FRESHNESS_LEASE_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_FRESHNESS_LEASE_H_
@@ -13,12 +13,12 @@
 
 namespace gooseberrylift {
 
-// Time since the machine started, with the time in which it was suspended: a
-// lease must run out while the host stands still. A type of its own keeps it
-// apart from the monotonic time of timers, which stops meanwhile.
+// Time since boot, including time spent suspended, because a lease must expire
+// while the host is suspended. A separate clock type prevents mixing it with
+// the monotonic time of timers, which stops during suspension.
 struct BootClock
 {
-  // NOLINTBEGIN: the names are those that the standard asks of a clock.
+  // NOLINTBEGIN: these names are required by the standard's Clock concept.
   using rep = std::int64_t;
   using period = std::nano;
   using duration = std::chrono::nanoseconds;
@@ -28,24 +28,25 @@
 };
 using BootTime = BootClock::time_point;
 
-// A lease on the configuration at hand. A proof that began at some time shows
-// every change acknowledged before that; a key that was taken away after it
-// may be served for the revocation time. So the lease ends that long after the
-// beginning of the last proof, and needs no clock but this host's own.
+// A lease on the current configuration, renewed by proofs of freshness. A
+// proof is a linearizable read: it reflects every change acknowledged before
+// the read started. A revoked key may be accepted for the revocation time, so
+// the lease expires that long after the start of the latest proof. Only the
+// local clock is needed.
 //
-// Only a linearizable read is a proof. A watch that told of no change is none:
-// a store that drops its history may keep a watch mute first, and a host that
-// stood still before it asked would take that silence for the time in which it
-// stood. Not thread-safe.
+// A watch that reports no change is not a proof. A store that drops its history
+// may stall a watch first, and a host that was paused before it opened the
+// watch would count the silence as covering the pause. Not thread-safe.
 class FreshnessLease
 {
 public:
   struct Options
   {
-    // How long after a key was taken away it may still be served.
+    // How long a revoked key may still be accepted.
     std::chrono::milliseconds revokeWithin_{ 5'000 };
-    // For the steps between the check and the first byte at an endpoint, and
-    // for the drift of two machines' clocks; a hundredth of the usual bound.
+    // Covers the time between the check and the first byte sent to an endpoint,
+    // and clock drift between two machines. One hundredth of the default
+    // revokeWithin_.
     std::chrono::milliseconds margin_{ 50 };
   };
 
@@ -54,25 +55,25 @@
   {
   }
 
-  /// Sets the bound anew, when settings change.
+  /// Updates the revocation time when the settings change.
   void SetRevokeWithin(std::chrono::milliseconds aRevokeWithin)
   {
     options_.revokeWithin_ = aRevokeWithin;
   }
 
-  /// Notes a proof. An older one than the last changes nothing.
-  /// @param aBegan when the read that proved it was about to be sent
-  void OnProof(BootTime aBegan);
+  /// Renews the lease. A proof older than the latest one is ignored.
+  /// @param aReadStart when the read was about to be sent
+  void OnProof(BootTime aReadStart);
 
-  /// Says whether a key may be believed.
+  /// Returns whether keys may be accepted.
   bool IsValid(BootTime aNow) const;
 
-  /// Gives the time since what the last proof showed; nothing without one.
+  /// Returns the time since the latest proof started, or nothing without one.
   std::optional<std::chrono::milliseconds> Age(BootTime aNow) const;
 
 private:
   Options options_;
-  std::optional<BootTime> proven_;
+  std::optional<BootTime> lastProof_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-headline-word.h
+++ b/include/gooseberrylift/membership/gooseberrylift-headline-word.h
@@ -1,5 +1,5 @@
-// What hosts ask and tell each other of the store many times a second, in
-// datagrams.
+// Datagrams in which hosts exchange, several times a second, how much of the
+// store's state each of them has.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_HEADLINE_WORD_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_HEADLINE_WORD_H_
@@ -13,21 +13,21 @@
 
 namespace gooseberrylift {
 
-// A question, or the answer to one. Both carry what their sender knows; only
-// an answer's proof counts, by the time at which its question was sent.
+// A request or its response. Both carry the sender's status. The proof age is
+// used only in a response, and counted back from when the request was sent.
 struct HeadlineWord
 {
   std::string host_;
-  std::uint64_t question_ = 0; // a random number, the same in the answer
+  std::uint64_t question_ = 0; // random; echoed in the response
   bool isAnswer_ = false;
   StoreHeadline headline_;
 };
 
-/// Encodes a word, small enough for one packet.
-std::string EncodeHeadlineWord(const HeadlineWord& aWord);
+/// Encodes a message, small enough for one packet.
+std::string EncodeHeadlineWord(const HeadlineWord& aMessage);
 
-/// Decodes a word.
-/// @return nothing when it is none
+/// Decodes a message.
+/// @return nothing if the bytes are not a valid message
 std::optional<HeadlineWord> DecodeHeadlineWord(std::string_view aBytes);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-load-word.h
+++ b/include/gooseberrylift/membership/gooseberrylift-load-word.h
@@ -1,4 +1,5 @@
-// What a host says of its load, as datagrams.
+// Datagrams in which hosts tell each other how much load they have placed on
+// each endpoint.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_WORD_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_WORD_H_
@@ -14,37 +15,38 @@
 
 namespace gooseberrylift {
 
-// A share takes some 35 bytes, and a packet bears 1,400.
+// A share takes about 35 bytes, and a packet holds 1,400.
 inline constexpr std::size_t kSharesPerDatagram = 30;
 
-// What a datagram holds.
+// What a datagram contains.
 enum class LoadWordPart
 {
-  kFirst,  // of all that the host has in work
-  kMore,   // of the same, added to the first
-  kChange, // only the endpoints at which something was placed
+  kFirst,  // the first datagram of the sender's whole load
+  kMore,   // a further datagram of the same, added to the first
+  kChange, // only endpoints that received new requests
 };
 
-// One host's word, or a part of it.
+// A load message of one host, or a datagram of it.
 struct LoadWord
 {
   std::string host_;
-  std::uint64_t sequence_ = 0; // rises with each word, also over restarts
+  std::uint64_t sequence_ = 0; // rises with each message, also across restarts
   LoadWordPart part_ = LoadWordPart::kFirst;
   std::vector<EndpointShare> shares_;
-  // Set when the word is of all hosts of an availability zone, summed up by its
-  // host.
+  // Set if the message holds the total load of an availability zone, sent by
+  // the host that aggregates it.
   std::string zone_{};
-  // Of such a word: its receiver is to pass it on to the hosts of its own zone.
+  // For such a message: the receiver is to forward it to the hosts of its own
+  // zone.
   bool passOn_ = false;
 };
 
-/// Encodes a word, in as many datagrams as it needs, each small enough for one
-/// packet. Changes don't need more than one: their sender splits them.
-std::vector<std::string> EncodeLoadWord(const LoadWord& aWord);
+/// Encodes a message as one or more datagrams, each small enough for one
+/// packet. A kChange message must fit into one; its sender splits it.
+std::vector<std::string> EncodeLoadWord(const LoadWord& aMessage);
 
 /// Decodes a datagram.
-/// @return nothing when it is none
+/// @return nothing if the bytes are not a valid datagram
 std::optional<LoadWord> DecodeLoadWord(std::string_view aBytes);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
+++ b/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
@@ -1,6 +1,6 @@
-// Decides which other hosts a host tells what, by where they stand. The load it
-// answers: fleets from a handful of hosts, of which each tells all others, to
-// thousands, of which each follows its own zone and hears of the rest in sums.
+// Selects which other hosts a host communicates with, by fleet size and zone.
+// In a small fleet each host informs all others. In a fleet of thousands, each
+// host informs its own zone and receives totals for the other zones.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_PEER_GROUPS_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_PEER_GROUPS_H_
@@ -17,44 +17,45 @@
 
 namespace gooseberrylift {
 
-// Who gets words of load, as IP:port each.
+// The recipients of load messages, each as IP:port.
 struct WordPeers
 {
-  // Those that get each word: in a small fleet all others, in a large one those
-  // of the own zone.
+  // Recipients of every message: all other hosts in a small fleet, the hosts
+  // of the own zone in a large one.
   std::vector<std::string> near_;
-  // Of the live ones of each other zone, in a large fleet.
+  // The live hosts of each other zone; empty in a small fleet.
   std::map<std::string, std::vector<std::string>> far_;
-  // Of those that sum up this zone when this host falls silent.
+  // The hosts that take over aggregating this zone if this host fails.
   std::vector<std::string> successors_;
   std::size_t rank_ = 0; // of this host in its zone
 };
 
-// The other hosts, sorted by what they are for.
+// The other hosts, grouped by how this host communicates with them.
 struct PeerGroups
 {
   WordPeers words_;
-  std::set<std::string> zoneHosts_; // of the own zone, by name
-  // Live ones to ask what they know of the store; in a small fleet all of them
-  // are near, in a large one those of the own zone.
+  std::set<std::string> zoneHosts_; // names of the hosts of the own zone
+  // Live hosts to exchange store status with. In a small fleet all of them are
+  // near, in a large one those of the own zone.
   std::vector<PeerMember> near_;
   std::vector<PeerMember> far_;
 };
 
-// What there is to sort.
-struct PeersInView
+// Input of GroupPeers().
+struct PeerSnapshot
 {
   std::string host_; // this host
   std::string zone_;
   std::vector<PeerMember> known_; // other hosts, live or not
-  std::vector<Digest> live_;      // words of the live ones
-  std::size_t fleet_ = 0;         // other hosts of the whole fleet
+  std::vector<Digest> live_;      // digests of the live ones
+  std::size_t fleet_ = 0;         // number of other hosts in the whole fleet
 };
 
-/// Sorts the other hosts. Up to PeerTable::kSmallFleet of them all are near.
-PeerGroups GroupPeers(const PeersInView& aView);
+/// Groups the other hosts. In a fleet of fewer than PeerTable::kSmallFleet
+/// other hosts, all of them are near.
+PeerGroups GroupPeers(const PeerSnapshot& aPeers);
 
-/// Draws the hosts that are asked in a round what they know of the store.
+/// Picks at random the hosts to exchange store status with in one round.
 std::vector<PeerMember> DrawPeers(const PeerGroups& aGroups,
                                   std::minstd_rand& aRandom);
 
--- a/include/gooseberrylift/membership/gooseberrylift-read-turn.h
+++ b/include/gooseberrylift/membership/gooseberrylift-read-turn.h
@@ -1,7 +1,6 @@
-// Decides when this host reads the platform's store. The load it answers:
-// fleets of any size whose calls to the store are paid for. Were each host to
-// read for itself, the calls would grow with the hosts; here a fleet makes one
-// or two calls a second, whatever its size.
+// Decides when this host reads the platform's store. Calls to the store are
+// paid for, so their rate must not grow with the number of hosts: a fleet of
+// any size makes one or two calls a second.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_READ_TURN_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_READ_TURN_H_
@@ -16,47 +15,48 @@
 
 namespace gooseberrylift {
 
-// Where a host stands among the live hosts that it knows.
+// The position of a host among the live hosts that it knows.
 struct ReadRank
 {
-  std::size_t hosts_ = 1; // live ones, this one included
-  // Of these, how many rank before this one, and how many of them can read the
-  // store as far as they say.
+  std::size_t hosts_ = 1; // live hosts, including this one
+  // The number of hosts ranked before this one, and how many of them report
+  // that they can read the store.
   std::size_t rank_ = 0;
   std::size_t before_ = 0;
 };
 
-// Another live host, as its word of itself shows it.
+// A live host, as described by its own digest.
 struct ReadCandidate
 {
   std::string host_;
-  bool lost_ = false;    // it has tried to read the store and failed
-  bool leaving_ = false; // it is about to stop
+  bool storeUnreachable_ = false; // its last attempt to read the store failed
+  bool leaving_ = false;          // it is about to stop
 };
 
-/// Says whether a host comes before another: by a hash of their names.
+/// Returns whether a host ranks before another. The order is that of a hash of
+/// the names.
 bool RanksBefore(const std::string& aHost, const std::string& aOther);
 
-/// Ranks hosts by a hash of their names, so that those which see the same hosts
-/// rank them alike, and the loss of one moves no other.
+/// Ranks hosts by a hash of their names, so that hosts that see the same fleet
+/// compute the same order, and the failure of one host does not reorder others.
 /// @param aSelf this host
 /// @param aOthers the other live hosts
 ReadRank RankReaders(const ReadCandidate& aSelf,
                      const std::vector<ReadCandidate>& aOthers);
 
-// One law from one host to thousands: a host reads when the youngest reading
-// that it knows of, its own or another's, is older than its rank bears. The
-// first host by rank reads each second. While its readings spread, no other
-// host's bound is reached; when it falls silent or loses the store the next one
-// finds its bound reached, and so on; the first that succeeds goes on each
-// second. Nobody is elected and nobody is told: hosts which see different
-// fleets read more often, never less. A host that has just started reads at
-// once, whatever others know: its callers wait, and are refused for want of
-// routes until it has them.
+// The same rule applies from one host to thousands: a host reads the store when
+// the latest read that it knows of, its own or another host's, is older than
+// the maximum age for its rank. The first host by rank reads each second. While
+// its results propagate, no other host reaches its maximum age. If it fails or
+// loses the store, the next host reaches its maximum age, and so on; the first
+// one to succeed continues each second. There is no election: hosts with
+// different views of the fleet read more often, never less. A host that has
+// just started reads at once, whatever others know, because its callers are
+// refused until it has routes.
 //
-// The bound follows the rank among all live hosts, also those that have lost
-// the store: else each failure would bring all the others closer to their
-// bounds, and hundreds would try at once when the store is away.
+// The maximum age depends on the rank among all live hosts, including those
+// that have lost the store. Otherwise each failure would lower the maximum age
+// of all other hosts, and hundreds would try at once during a store outage.
 //
 // Not thread-safe.
 class ReadTurn
@@ -64,33 +64,34 @@
 public:
   struct Options
   {
-    // Between two readings of the first host. Changes are known there within
-    // it, and hosts hear of them some hundred ms later; the smallest fleets
-    // must have them everywhere in 2 s.
-    std::chrono::milliseconds every_{ 1'000 };
-    // How long a reading takes to reach the others, for each doubling of the
-    // hosts. Hosts exchange words each 150 ms with one to three others, and
-    // each such round more than doubles those that know.
-    std::chrono::milliseconds spreadPerDoubling_{ 100 };
-    // Between two ranks. When the store is lost for all, ten hosts a second
-    // notice at first.
-    std::chrono::milliseconds step_{ 100 };
-    // However many are before it a host reads in this time, and in a second of
-    // its own after it, shared out by rank: keys are refused when five seconds
-    // have passed, and it may be that it hears just none of the others.
-    std::chrono::milliseconds latest_{ 3'300 };
-    std::chrono::milliseconds latestSpread_{ 1'000 };
-    // After a failed try, doubled with each further one up to the most. A store
-    // that loses a third of its answers is tried again at once; one that is
-    // back is noticed within the most, and until then callers with keys are
-    // refused.
-    std::chrono::milliseconds pause_{ 300 };
-    std::chrono::milliseconds mostPause_{ 1'000 };
-    // Hosts of a higher rank that failed leave the trying to these, but for a
-    // few tries a second over the whole fleet: the store may refuse just the
-    // first ones.
-    std::size_t triers_ = 3;
-    double triesPerSecond_ = 4;
+    // Between two reads of the first host. It sees changes within this time,
+    // and other hosts receive them a few hundred ms later; in the smallest
+    // fleets a change must reach every host within 2 s.
+    std::chrono::milliseconds interval_{ 1'000 };
+    // How long a result takes to reach the other hosts, per doubling of their
+    // number. Hosts exchange status each 150 ms with one to three others, and
+    // each round more than doubles the number of hosts that have it.
+    std::chrono::milliseconds propagationPerDoubling_{ 100 };
+    // Difference of the maximum age between two ranks. In an outage of the
+    // store, ten hosts a second start trying.
+    std::chrono::milliseconds rankStep_{ 100 };
+    // Upper limit of the maximum age, however many hosts rank before this one.
+    // The hosts' limits are spread by rank over maxAgeSpread_ after it. Keys
+    // are refused after five seconds, and this host may be unable to receive
+    // the results of any other.
+    std::chrono::milliseconds maxAge_{ 3'300 };
+    std::chrono::milliseconds maxAgeSpread_{ 1'000 };
+    // Delay after a failed attempt, doubled with each further failure up to
+    // maxRetryDelay_. The first delay is short, for a store that fails a third
+    // of its calls. The longest bounds how late a recovery of the store is
+    // noticed, since callers with keys are refused until then.
+    std::chrono::milliseconds retryDelay_{ 300 };
+    std::chrono::milliseconds maxRetryDelay_{ 1'000 };
+    // Only this many hosts, the first by rank, retry at the above rate. After a
+    // failure the others make only fleetRetriesPerSecond_ attempts over the
+    // whole fleet, since the store may be refusing just the first hosts.
+    std::size_t fastRetryHosts_ = 3;
+    double fleetRetriesPerSecond_ = 4;
   };
 
   explicit ReadTurn(Options aOptions)
@@ -98,38 +99,39 @@
   {
   }
 
-  /// Gives how long until this host is to read; zero or less when it is.
-  /// @param aAge of the youngest reading known; nothing without one
+  /// Returns the time until this host is to read; zero or less if it is due.
+  /// @param aAge of the latest read known; nothing without one
   std::chrono::milliseconds DueIn(TimePoint aNow,
                                   std::optional<std::chrono::milliseconds> aAge,
                                   const ReadRank& aRank) const;
 
-  /// Delays the next try until a time.
-  void DelayUntil(TimePoint aUntil) { tryAt_ = aUntil; }
+  /// Delays the next attempt until a time.
+  void DelayUntil(TimePoint aUntil) { nextAttempt_ = aUntil; }
 
-  /// Makes the next try due at once, unless earlier ones have failed.
+  /// Makes the next attempt due at once, unless the last one failed.
   void CancelDelay();
 
-  /// Notes that this host has read the store.
+  /// Records that this host has read the store.
   void OnRead(TimePoint aNow);
 
-  /// Notes that this host could not read the store.
+  /// Records that this host failed to read the store.
   void OnFailed(TimePoint aNow, const ReadRank& aRank);
 
-  /// Says whether this host is one that reads: it has done so lately.
+  /// Returns whether this host has read the store within the last few
+  /// intervals.
   bool Reads(TimePoint aNow) const;
 
-  /// Says whether this host's last try failed.
-  bool HasLostStore() const { return failures_ > 0; }
+  /// Returns whether this host's last attempt failed.
+  bool HasLostStore() const { return consecutiveFailures_ > 0; }
 
 private:
-  std::chrono::milliseconds Bound(TimePoint aNow, const ReadRank& aRank) const;
-  std::chrono::milliseconds PauseOf(const ReadRank& aRank) const;
+  std::chrono::milliseconds MaxAge(TimePoint aNow, const ReadRank& aRank) const;
+  std::chrono::milliseconds RetryDelay(const ReadRank& aRank) const;
 
   Options options_;
-  int failures_ = 0;              // in a row
-  TimePoint tryAt_{};             // no try before
-  std::optional<TimePoint> read_; // the last time that it succeeded
+  int consecutiveFailures_ = 0;
+  TimePoint nextAttempt_{}; // no attempt before this time
+  std::optional<TimePoint> lastRead_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-store-view.h
+++ b/include/gooseberrylift/membership/gooseberrylift-store-view.h
@@ -1,7 +1,6 @@
-// What one host has seen of a kind of object in the store, kept so that it can
-// tell other hosts what changed since they heard last. The load it answers:
-// fleets in which one host reads the store and hundreds hear from it, and from
-// each other, what is new.
+// A host's copy of one kind of object in the store, with enough history to send
+// other hosts only what changed since they last asked. This lets one host read
+// the store while hundreds of others receive changes from it and each other.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_VIEW_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_VIEW_H_
@@ -19,39 +18,39 @@
 
 namespace gooseberrylift {
 
-// An object as it was read.
+// An object as it was read from the store.
 struct ViewedObject
 {
   std::string name_;
-  std::string version_; // the store's, of the object's last change
+  std::string version_; // assigned by the store at the object's last change
   nlohmann::json spec_;
 };
 
-// What one host tells another of a kind.
+// The changes of one kind that one host sends to another.
 struct ViewChanges
 {
-  std::uint64_t revision_ = 0; // of the store, up to which this is complete
+  std::uint64_t revision_ = 0; // store revision up to which this is complete
   std::vector<ViewedObject> objects_; // new or changed
   std::vector<std::string> removed_;  // names
-  // All names that there are, in their order, when it is not known for sure
-  // what was removed.
+  // All existing names, in order. Set if the sender cannot tell which objects
+  // were removed.
   std::optional<std::vector<std::string>> names_;
 };
 
-// What a host says of its views in each exchange with another: enough for the
-// other to see whether it lacks something.
+// A summary of a host's views. The receiver can tell from it whether it lacks
+// any changes.
 struct StoreHeadline
 {
-  // The store's revisions up to which the host knows all; 0: nothing.
+  // Store revisions up to which the host's views are complete; 0 for none.
   std::uint64_t routes_ = 0;
   std::uint64_t endpoints_ = 0;
   std::uint64_t evacuations_ = 0;
-  // Age of the proof that the routes hold, on the host's clock when it said
-  // so; nothing without one.
+  // Age of the latest proof that the routes are current (see FreshnessLease),
+  // on the sender's clock at the time of sending; nothing without one.
   std::optional<std::chrono::milliseconds> proofAge_;
 };
 
-// What a view has just learnt.
+// What an update changed in a view.
 struct ViewNews
 {
   std::vector<ViewedObject> objects_; // new or changed
@@ -60,21 +59,25 @@
   bool Empty() const { return objects_.empty() && removed_.empty(); }
 };
 
-// The store counts its changes, so a host that knows its state at a revision
-// gets the rest from any other host, whichever it asked before. An object bears
-// the revision of its last change; what is missing is stamped with one at or
-// after its removal: who asks from between the two gets it twice, which changes
-// nothing. A list does not show what came and went again before it, and the
-// host that asks may have heard of that elsewhere: to questions from before it
-// all names are told. Not thread-safe.
+// The store numbers its changes with revisions, so a host that is up to date to
+// one revision can get later changes from any other host. An object carries the
+// revision of its last change. A removal is recorded with a revision at or
+// after the actual one: a host whose revision lies between the two receives the
+// removal twice, which is harmless.
+//
+// A list does not show objects that were both created and removed before it,
+// and a host that asks may have received such an object from elsewhere. A host
+// whose revision is older than the last list therefore gets all names. Not
+// thread-safe.
 class StoreView
 {
 public:
   struct Options
   {
-    // Removals kept. Who asks from before them is told all names; a fleet of
-    // some hundred endpoints loses no more in minutes.
-    std::size_t removals_ = 1024;
+    // Number of removals kept. A host that asks for changes since before the
+    // oldest one gets all names. A fleet of a few hundred endpoints removes
+    // fewer than this in minutes.
+    std::size_t maxRemovals_ = 1024;
   };
 
   explicit StoreView(Options aOptions)
@@ -82,49 +85,53 @@
   {
   }
 
-  /// Takes in the whole kind, as it was at a revision. One from before what is
-  /// known changes nothing.
-  /// @return what is new in it
+  /// Applies a list of all objects at a revision. A list older than this view
+  /// is ignored.
+  /// @return what changed in this view
   ViewNews OnList(std::vector<ViewedObject> aObjects, std::uint64_t aRevision);
 
-  /// Takes in what another host told, asked from this view's revision on.
-  /// @return what is new in it
+  /// Applies changes from another host that were requested since this view's
+  /// revision.
+  /// @return what changed in this view
   ViewNews OnTold(ViewChanges aChanges);
 
-  /// Gives the revision up to which all is known; 0 before the first list.
+  /// Returns the revision up to which this view is complete; 0 before the first
+  /// list.
   std::uint64_t Revision() const { return revision_; }
 
-  /// Gives what changed after a revision.
+  /// Returns the changes after a revision.
   ViewChanges Since(std::uint64_t aRevision) const;
 
 private:
-  struct Kept
+  struct Entry
   {
     ViewedObject object_;
-    std::uint64_t stamp_ = 0; // a revision
+    std::uint64_t changeRevision_ = 0;
   };
   struct Removal
   {
     std::string name_;
-    std::uint64_t stamp_ = 0;
+    std::uint64_t changeRevision_ = 0;
   };
 
-  void Put(ViewedObject aObject, std::uint64_t aRevision, ViewNews& aNews);
+  void Upsert(ViewedObject aObject, std::uint64_t aRevision, ViewNews& aUpdate);
   void Remove(const std::string& aName,
               std::uint64_t aRevision,
-              ViewNews& aNews);
-  void RemoveOthers(const std::set<std::string>& aNames,
-                    std::uint64_t aRevision,
-                    ViewNews& aNews);
+              ViewNews& aUpdate);
+  void RemoveUnlisted(const std::set<std::string>& aListed,
+                      std::uint64_t aRevision,
+                      ViewNews& aUpdate);
 
   Options options_;
   std::uint64_t revision_ = 0;
-  std::uint64_t floor_ = 0; // what was removed up to it is not known any more
-  std::map<std::string, Kept> objects_;
+  // Removals up to this revision are not all recorded.
+  std::uint64_t removalsCompactedTo_ = 0;
+  std::map<std::string, Entry> objects_;
   std::deque<Removal> removals_;
 };
 
-/// Gives the store's count of changes that a version stands for; 0 for none.
+/// Returns the store revision that a version stands for; 0 if it is not a
+/// number.
 std::uint64_t RevisionOf(const std::string& aVersion);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-word-pace.h
+++ b/include/gooseberrylift/membership/gooseberrylift-word-pace.h
@@ -1,8 +1,8 @@
-// Decides when a host tells the others what it has in work. The load it
-// answers: fleets from a handful of hosts to hundreds, all of which place
-// requests on the same endpoints. A host that hears of the others' requests
-// late places its own where theirs already are; one that tells every change to
-// hundreds of others at once does nothing else.
+// Decides when a host sends its load to the others. Fleets range from a handful
+// of hosts to hundreds, all of which place requests on the same endpoints. If
+// messages arrive late, hosts place requests on endpoints that others already
+// occupy; if every change went to hundreds of hosts at once, sending would take
+// all of a host's time.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_WORD_PACE_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_WORD_PACE_H_
@@ -14,36 +14,36 @@
 
 namespace gooseberrylift {
 
-// Two kinds of words. That something was placed is told at once, in a small
-// datagram a peer, as long as a host sends no more of them than it may: in a
-// large fleet each host places little, so that this is all of them. What ended
-// can wait: all that a host has in work is told at an interval that follows the
-// number of peers. Not thread-safe.
+// There are two kinds of messages. A delta announces new requests at once, as
+// one small datagram per peer, within a rate limit; in a large fleet each host
+// places few requests, so the limit is rarely reached. Finished requests are
+// less urgent: they are covered by snapshots of the whole load, which are sent
+// at an interval that depends on the number of peers. Not thread-safe.
 class WordPace
 {
 public:
   struct Options
   {
-    // Datagrams with placements that a host sends, and so also gets, a second.
-    // Both ways together they take a few hundredths of a core; the smallest
-    // hosts have an eighth.
-    double changesPerSecond_ = 600;
-    // Placements in a row that are told at once after a quiet while, such as
-    // those of callers who come together.
-    double burst_ = 4;
-    // Datagrams with all that is in work, in the same way.
-    double perSecond_ = 300;
-    // From so many peers on such words only repair what was lost and tell what
-    // has ended, and go once in mostInterval_.
-    std::size_t manyPeers_ = 32;
-    // Peers forget a host after two seconds.
-    std::chrono::milliseconds mostInterval_{ 700 };
-    // Between two such words at least. A fleet of nine places a request about
-    // every 10 ms, of which each host hears all but the last two.
-    std::chrono::milliseconds least_{ 20 };
-    // Without any change the word is repeated after so long: datagrams are
-    // lost, and peers forget a host after two seconds.
-    std::chrono::milliseconds repeat_{ 250 };
+    // Delta datagrams that a host sends, and hence also receives, a second.
+    // Sending and receiving them takes a few hundredths of a core; the smallest
+    // hosts have an eighth of one.
+    double deltaDatagramsPerSecond_ = 600;
+    // Deltas in a row that are sent at once after a quiet period, for example
+    // if several callers arrive together.
+    double deltaBurst_ = 4;
+    // Snapshot datagrams that a host sends, and hence also receives, a second.
+    double snapshotDatagramsPerSecond_ = 300;
+    // From this many peers on, snapshots only make up for lost datagrams and
+    // report finished requests, and are at least largeFleetInterval_ apart.
+    std::size_t largeFleetPeers_ = 32;
+    // Peers discard a host's load after two seconds without a message.
+    std::chrono::milliseconds largeFleetInterval_{ 700 };
+    // Between two snapshots at least. A fleet of nine places a request about
+    // every 10 ms, so that each host lacks only the last two.
+    std::chrono::milliseconds minInterval_{ 20 };
+    // A snapshot is repeated after this time even without a change, because
+    // datagrams may be lost and peers discard a host's load after two seconds.
+    std::chrono::milliseconds repeatInterval_{ 250 };
   };
 
   explicit WordPace(Options aOptions)
@@ -51,33 +51,34 @@
   {
   }
 
-  /// Says whether a placement may be told now.
-  /// @param aPeers to how many it goes
+  /// Returns whether a delta may be sent now.
+  /// @param aPeers number of recipients
   bool MayTell(TimePoint aNow, std::size_t aPeers) const;
 
-  /// Notes that a placement was told.
+  /// Records that a delta was sent.
   void OnTold(TimePoint aNow, std::size_t aPeers);
 
-  /// Gives the time between two whole words.
+  /// Returns the time between two snapshots.
   std::chrono::milliseconds Interval(std::size_t aPeers) const;
 
-  /// Gives when a whole word is to be sent after a change.
+  /// Returns when a snapshot is to be sent after a change.
   TimePoint DueAt(TimePoint aNow, std::size_t aPeers) const;
 
-  /// Says whether the whole word is to be repeated though nothing changed.
+  /// Returns whether the snapshot is to be repeated without a change.
   bool MustRepeat(TimePoint aNow, std::size_t aPeers) const;
 
-  /// Notes that a whole word was sent.
-  void OnSent(TimePoint aNow) { sent_ = aNow; }
+  /// Records that a snapshot was sent.
+  void OnSent(TimePoint aNow) { lastSnapshot_ = aNow; }
 
 private:
-  double Spent(TimePoint aNow) const;
+  double UsedTokens(TimePoint aNow) const;
 
   Options options_;
-  TimePoint sent_{};
-  // A token bucket, as what was taken out of it and is not filled up again.
-  double spent_ = 0; // datagrams, at told_
-  TimePoint told_{};
+  TimePoint lastSnapshot_{};
+  // A token bucket, stored as the tokens taken and not yet refilled. One token
+  // is one datagram.
+  double usedTokens_ = 0;
+  TimePoint usedTokensAt_{}; // when usedTokens_ was computed
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/membership/gooseberrylift-zone-sums.h
+++ b/include/gooseberrylift/membership/gooseberrylift-zone-sums.h
@@ -1,8 +1,9 @@
-// Decides what the hosts of one availability zone tell those of the others of
-// what they have in work. The load it answers: hundreds of hosts before the
-// same engines. Telling each placement to all of them costs every host as many
-// datagrams as the whole fleet places, and a host that hears only a part of the
-// others finds engines full that it takes for idle.
+// Decides what the hosts of one availability zone tell those of other zones
+// about their load. With hundreds of hosts in front of the same engines,
+// sending every change to every host would cost each of them as many datagrams
+// as the whole fleet places requests; a host that hears from only some of the
+// others would take full engines for idle. In each zone one host, the
+// aggregator, sends the zone's total load to the other zones.
 
 #ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_SUMS_H_
 #define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_SUMS_H_
@@ -20,34 +21,35 @@
 
 namespace gooseberrylift {
 
-/// Gives the name under which what a zone has in work is kept beside what
-/// single hosts have.
+/// Returns the peer name under which a zone's total load is stored alongside
+/// the load of single hosts.
 std::string PeerNameOfZone(const std::string& aZone);
 
-// Picks from a zone's sums what the others must be told. Not thread-safe.
+// Selects which of a zone's totals to send to other zones. Not thread-safe.
 class ZoneSummer
 {
 public:
   struct Options
   {
-    // A backlog that is shorter or longer by so much than it would be by now
-    // is told anew; short requests bear more.
-    std::chrono::milliseconds backlogChange_{ 100 };
-    // An endpoint that was heard of is told as such after so long: others count
-    // its silence on from the last word, and take it for hung after a second.
-    std::chrono::milliseconds signOfLife_{ 500 };
-    // Between two words with all that the zone has in work, for hosts that
-    // have just started and for what was lost. In bursts of long prompts most
-    // engines change with each word, so telling each change twice costs the
-    // hosts more than a loss that lasts so long.
-    std::chrono::milliseconds wholeEvery_{ 1'000 };
-    // Without any change something is told after so long, by which others see
-    // that the summing host lives.
-    std::chrono::milliseconds aliveEvery_{ 250 };
+    // A backlog that differs by more than this from what receivers extrapolate
+    // is sent again; short requests tolerate a larger error.
+    std::chrono::milliseconds backlogTolerance_{ 100 };
+    // How often the activity of an unchanged endpoint is reported. Receivers
+    // extrapolate its silence from the last message and treat the endpoint as
+    // hung after a second.
+    std::chrono::milliseconds activityInterval_{ 500 };
+    // Between two snapshots, which serve hosts that have just started and make
+    // up for lost datagrams. In bursts of long prompts most engines change with
+    // each message, so sending each change twice would cost the hosts more than
+    // a loss that lasts this long.
+    std::chrono::milliseconds snapshotInterval_{ 1'000 };
+    // A message is sent after this time even without a change, so that others
+    // see that the aggregator is alive.
+    std::chrono::milliseconds heartbeatInterval_{ 250 };
   };
 
-  // Something to tell.
-  struct Word
+  // A message to send.
+  struct Message
   {
     LoadWordPart part_ = LoadWordPart::kChange;
     std::vector<EndpointShare> shares_;
@@ -58,42 +60,48 @@
   {
   }
 
-  /// Takes the zone's sums as they are now.
-  /// @return what to tell, if anything
-  std::optional<Word> Next(const std::vector<EndpointShare>& aSums,
-                           TimePoint aNow);
+  /// Returns the next message to send, if any.
+  /// @param aTotals the zone's current load by endpoint
+  std::optional<Message> Next(const std::vector<EndpointShare>& aTotals,
+                              TimePoint aNow);
 
-  /// Forgets what was told: the next word is a whole one.
+  /// Forgets what was sent, so that the next message is a snapshot.
   void Restart() { *this = ZoneSummer(options_); }
 
 private:
-  struct Told
+  // The latest share of an endpoint that was sent or is about to be.
+  struct SentShare
   {
     EndpointShare share_;
     TimePoint at_{};
-    bool isNew_ = false; // not told yet
+    bool isPending_ = false; // not sent yet
   };
 
-  bool Differs(const EndpointShare& aNew, const Told& aTold, TimePoint aNow);
-  void NoteChanges(const std::vector<EndpointShare>& aSums, TimePoint aNow);
+  bool NeedsUpdate(const EndpointShare& aNew,
+                   const SentShare& aSent,
+                   TimePoint aNow);
+  void MarkChanges(const std::vector<EndpointShare>& aTotals, TimePoint aNow);
 
   Options options_;
-  std::map<std::string, Told> told_; // by endpoint
-  std::optional<TimePoint> whole_;   // when all was told last
-  TimePoint sent_{};
+  std::map<std::string, SentShare> sentShares_; // by endpoint
+  std::optional<TimePoint> lastSnapshot_;
+  TimePoint lastMessage_{};
 };
 
-// Which host sums up a zone: the first of it by rank, and the next one when the
-// first has fallen silent. Not thread-safe.
+// Decides whether this host is its zone's aggregator: the first host of the
+// zone by rank, or the next one if the first has fallen silent. Not
+// thread-safe.
 class ZoneTurn
 {
 public:
   struct Options
   {
-    // Of silence, for each rank; more than twice the time between two words.
-    std::chrono::milliseconds silence_{ 600 };
-    // Hosts that stand ready; each gets the words of those before it.
-    std::size_t ready_ = 3;
+    // Silence after which the next rank takes over, per rank. More than twice
+    // the time between two messages.
+    std::chrono::milliseconds takeoverDelay_{ 600 };
+    // Hosts that may become the aggregator; each receives the messages of those
+    // before it.
+    std::size_t candidates_ = 3;
   };
 
   explicit ZoneTurn(Options aOptions)
@@ -101,28 +109,28 @@
   {
   }
 
-  /// Notes a word of the host that sums up this zone.
-  void OnHeard(TimePoint aNow) { heard_ = aNow; }
+  /// Records a message of this zone's current aggregator.
+  void OnHeard(TimePoint aNow) { lastHeard_ = aNow; }
 
-  /// Says whether this host is to sum up its zone.
+  /// Returns whether this host is to aggregate its zone.
   /// @param aRank among the live hosts of the zone
   bool IsOwn(TimePoint aNow, std::size_t aRank) const;
 
 private:
   Options options_;
-  TimePoint heard_{};
+  TimePoint lastHeard_{};
 };
 
-// Whose sums of a zone count: two hosts may take themselves for the one to sum
-// up, and with both the zone would seem to have twice as much in work. Not
-// thread-safe.
+// Accepts the messages of only one aggregator per zone. Two hosts may both
+// consider themselves the aggregator, and counting both would double the load
+// of the zone. Not thread-safe.
 class ZoneSources
 {
 public:
   struct Options
   {
-    // After so long without a word of the present one another may take over.
-    std::chrono::milliseconds silence_{ 600 };
+    // Another host may replace an aggregator that has been silent for longer.
+    std::chrono::milliseconds silenceTimeout_{ 600 };
   };
 
   explicit ZoneSources(Options aOptions)
@@ -130,18 +138,19 @@
   {
   }
 
-  /// Says whether a word counts. Only a whole one makes its sender the source.
-  bool Accepts(const LoadWord& aWord, TimePoint aNow);
+  /// Returns whether to apply a message. Only a snapshot can make its sender
+  /// the zone's accepted aggregator.
+  bool Accepts(const LoadWord& aMessage, TimePoint aNow);
 
 private:
-  struct Source
+  struct Aggregator
   {
     std::string host_;
-    TimePoint heard_{};
+    TimePoint lastHeard_{};
   };
 
   Options options_;
-  std::map<std::string, Source> sources_; // by zone
+  std::map<std::string, Aggregator> aggregators_; // by zone
 };
 
 } // namespace gooseberrylift
--- a/src/core/membership/gooseberrylift-freshness-lease.cc
+++ b/src/core/membership/gooseberrylift-freshness-lease.cc
@@ -2,25 +2,27 @@
 
 namespace gooseberrylift {
 
-void FreshnessLease::OnProof(BootTime aBegan)
+void FreshnessLease::OnProof(BootTime aReadStart)
 {
-  if (!proven_ || aBegan > *proven_) {
-    proven_ = aBegan;
+  if (!lastProof_ || aReadStart > *lastProof_) {
+    lastProof_ = aReadStart;
   }
 }
 
 bool FreshnessLease::IsValid(BootTime aNow) const
 {
-  return proven_ && aNow - *proven_ < options_.revokeWithin_ - options_.margin_;
+  return lastProof_ &&
+         aNow - *lastProof_ < options_.revokeWithin_ - options_.margin_;
 }
 
 std::optional<std::chrono::milliseconds> FreshnessLease::Age(
   BootTime aNow) const
 {
-  if (!proven_) {
+  if (!lastProof_) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<std::chrono::milliseconds>(aNow - *proven_);
+  return std::chrono::duration_cast<std::chrono::milliseconds>(aNow -
+                                                               *lastProof_);
 }
 
 } // namespace gooseberrylift
--- a/src/core/membership/gooseberrylift-headline-word.cc
+++ b/src/core/membership/gooseberrylift-headline-word.cc
@@ -8,49 +8,49 @@
 
 namespace {
 
-// Stands for a host without a proof.
-constexpr std::int64_t kNoProof = -1;
+// Encodes a missing proof age.
+constexpr std::int64_t kNoProofAge = -1;
 
 } // namespace
 
-std::string EncodeHeadlineWord(const HeadlineWord& aWord)
+std::string EncodeHeadlineWord(const HeadlineWord& aMessage)
 {
-  const StoreHeadline& headline = aWord.headline_;
-  const json word =
-    json::array({ aWord.host_,
-                  aWord.question_,
-                  aWord.isAnswer_,
-                  headline.routes_,
-                  headline.endpoints_,
-                  headline.proofAge_ ? headline.proofAge_->count() : kNoProof,
-                  headline.evacuations_ });
+  const StoreHeadline& headline = aMessage.headline_;
+  const json message = json::array(
+    { aMessage.host_,
+      aMessage.question_,
+      aMessage.isAnswer_,
+      headline.routes_,
+      headline.endpoints_,
+      headline.proofAge_ ? headline.proofAge_->count() : kNoProofAge,
+      headline.evacuations_ });
   std::string bytes;
-  json::to_cbor(word, bytes);
+  json::to_cbor(message, bytes);
   return bytes;
 }
 
 std::optional<HeadlineWord> DecodeHeadlineWord(std::string_view aBytes)
 {
-  const json word = json::from_cbor(aBytes, true, false);
-  if (word.is_discarded()) {
+  const json message = json::from_cbor(aBytes, true, false);
+  if (message.is_discarded()) {
     return std::nullopt;
   }
   try {
-    HeadlineWord read{ .host_ = word.at(0),
-                       .question_ = word.at(1),
-                       .isAnswer_ = word.at(2),
-                       .headline_ = { .routes_ = word.at(3),
-                                      .endpoints_ = word.at(4) } };
-    const auto age = word.at(5).get<std::int64_t>();
+    HeadlineWord decoded{ .host_ = message.at(0),
+                          .question_ = message.at(1),
+                          .isAnswer_ = message.at(2),
+                          .headline_ = { .routes_ = message.at(3),
+                                         .endpoints_ = message.at(4) } };
+    const auto age = message.at(5).get<std::int64_t>();
     if (age >= 0) {
-      read.headline_.proofAge_ = std::chrono::milliseconds(age);
+      decoded.headline_.proofAge_ = std::chrono::milliseconds(age);
     }
-    if (word.size() > 6) { // else its sender has an earlier version
-      read.headline_.evacuations_ = word.at(6);
+    if (message.size() > 6) { // absent from earlier versions
+      decoded.headline_.evacuations_ = message.at(6);
     }
-    return read;
+    return decoded;
   } catch (const json::exception&) {
-    return std::nullopt; // its sender speaks another version
+    return std::nullopt; // from an incompatible version
   }
 }
 
--- a/src/core/membership/gooseberrylift-load-word.cc
+++ b/src/core/membership/gooseberrylift-load-word.cc
@@ -10,15 +10,15 @@
 
 namespace {
 
-// The parts of a datagram by number; the last two are there only when the word
-// is of a zone.
-constexpr std::size_t kZonePart = 4;
-constexpr std::size_t kPassOnPart = 5;
+// Positions in a datagram of the two elements that only messages about a zone
+// contain.
+constexpr std::size_t kZoneIndex = 4;
+constexpr std::size_t kRelayIndex = 5;
 
-// The numbers on the wire; they never change their meaning.
-constexpr int kWireMore = 0;
-constexpr int kWireFirst = 1;
-constexpr int kWireChange = 2;
+// Wire values; their meaning must not change.
+constexpr int kWireSnapshotContinued = 0;
+constexpr int kWireSnapshot = 1;
+constexpr int kWireDelta = 2;
 
 json ShareToJson(const EndpointShare& aShare)
 {
@@ -44,83 +44,83 @@
              std::chrono::milliseconds(aItem.at(6).get<std::int64_t>()) };
 }
 
-int WireOf(LoadWordPart aPart, bool aBegins)
+int ToWire(LoadWordPart aKind, bool aIsFirst)
 {
-  switch (aPart) {
+  switch (aKind) {
     case LoadWordPart::kChange:
-      return kWireChange;
+      return kWireDelta;
     case LoadWordPart::kMore:
-      return kWireMore;
+      return kWireSnapshotContinued;
     case LoadWordPart::kFirst:
       break;
   }
-  return aBegins ? kWireFirst : kWireMore;
+  return aIsFirst ? kWireSnapshot : kWireSnapshotContinued;
 }
 
-LoadWordPart PartOf(int aWire)
+LoadWordPart FromWire(int aWire)
 {
-  if (aWire == kWireChange) {
+  if (aWire == kWireDelta) {
     return LoadWordPart::kChange;
   }
-  return aWire == kWireFirst ? LoadWordPart::kFirst : LoadWordPart::kMore;
+  return aWire == kWireSnapshot ? LoadWordPart::kFirst : LoadWordPart::kMore;
 }
 
-std::string EncodePart(const LoadWord& aWord,
-                       std::size_t aBegin,
-                       std::size_t aEnd)
+std::string EncodeDatagram(const LoadWord& aMessage,
+                           std::size_t aBegin,
+                           std::size_t aEnd)
 {
   json shares = json::array();
   for (std::size_t index = aBegin; index < aEnd; ++index) {
-    shares.push_back(ShareToJson(aWord.shares_[index]));
+    shares.push_back(ShareToJson(aMessage.shares_[index]));
   }
-  json part = json::array({ aWord.host_,
-                            aWord.sequence_,
-                            WireOf(aWord.part_, aBegin == 0),
-                            std::move(shares) });
-  if (!aWord.zone_.empty()) {
-    part.push_back(aWord.zone_);
-    part.push_back(aWord.passOn_);
+  json datagram = json::array({ aMessage.host_,
+                                aMessage.sequence_,
+                                ToWire(aMessage.part_, aBegin == 0),
+                                std::move(shares) });
+  if (!aMessage.zone_.empty()) {
+    datagram.push_back(aMessage.zone_);
+    datagram.push_back(aMessage.passOn_);
   }
   std::string bytes;
-  json::to_cbor(part, bytes);
+  json::to_cbor(datagram, bytes);
   return bytes;
 }
 
 } // namespace
 
-std::vector<std::string> EncodeLoadWord(const LoadWord& aWord)
+std::vector<std::string> EncodeLoadWord(const LoadWord& aMessage)
 {
   std::vector<std::string> datagrams;
   std::size_t begin = 0;
   do {
     const std::size_t end =
-      std::min(begin + kSharesPerDatagram, aWord.shares_.size());
-    datagrams.push_back(EncodePart(aWord, begin, end));
+      std::min(begin + kSharesPerDatagram, aMessage.shares_.size());
+    datagrams.push_back(EncodeDatagram(aMessage, begin, end));
     begin = end;
-  } while (begin < aWord.shares_.size());
+  } while (begin < aMessage.shares_.size());
   return datagrams;
 }
 
 std::optional<LoadWord> DecodeLoadWord(std::string_view aBytes)
 {
-  const json part = json::from_cbor(aBytes, true, false);
-  if (part.is_discarded()) {
+  const json datagram = json::from_cbor(aBytes, true, false);
+  if (datagram.is_discarded()) {
     return std::nullopt;
   }
   try {
-    LoadWord word{ .host_ = part.at(0),
-                   .sequence_ = part.at(1),
-                   .part_ = PartOf(part.at(2)) };
-    if (part.size() > kPassOnPart) {
-      word.zone_ = part.at(kZonePart);
-      word.passOn_ = part.at(kPassOnPart);
+    LoadWord message{ .host_ = datagram.at(0),
+                      .sequence_ = datagram.at(1),
+                      .part_ = FromWire(datagram.at(2)) };
+    if (datagram.size() > kRelayIndex) {
+      message.zone_ = datagram.at(kZoneIndex);
+      message.passOn_ = datagram.at(kRelayIndex);
     }
-    for (const json& share : part.at(3)) {
-      word.shares_.push_back(ShareFromJson(share));
+    for (const json& share : datagram.at(3)) {
+      message.shares_.push_back(ShareFromJson(share));
     }
-    return word;
+    return message;
   } catch (const json::exception&) {
-    return std::nullopt; // its sender speaks another version
+    return std::nullopt; // from an incompatible version
   }
 }
 
--- a/src/core/membership/gooseberrylift-read-turn.cc
+++ b/src/core/membership/gooseberrylift-read-turn.cc
@@ -15,24 +15,24 @@
 
 namespace {
 
-using Place = std::pair<std::uint64_t, std::string>;
+using HashRank = std::pair<std::uint64_t, std::string>;
 
-Place PlaceOf(const std::string& aHost)
+HashRank HashRankOf(const std::string& aHost)
 {
   return { XXH3_64bits(aHost.data(), aHost.size()), aHost };
 }
 
-// Beyond it the most is reached with any sensible options.
-constexpr int kMostDoublings = 8;
+// Enough to reach maxRetryDelay_ with any reasonable options.
+constexpr int kMaxDoublings = 8;
 
-// A host that has read within so many turns is the one that reads.
-constexpr int kTurnsUntilIdle = 3;
+// A host that has read the store within this many intervals is a reader.
+constexpr int kActiveReaderIntervals = 3;
 
 } // namespace
 
 bool RanksBefore(const std::string& aHost, const std::string& aOther)
 {
-  return PlaceOf(aHost) < PlaceOf(aOther);
+  return HashRankOf(aHost) < HashRankOf(aOther);
 }
 
 ReadRank RankReaders(const ReadCandidate& aSelf,
@@ -46,73 +46,74 @@
     ++rank.hosts_;
     if (aSelf.leaving_ || RanksBefore(other.host_, aSelf.host_)) {
       ++rank.rank_;
-      rank.before_ += other.lost_ ? 0 : 1;
+      rank.before_ += other.storeUnreachable_ ? 0 : 1;
     }
   }
   return rank;
 }
 
-milliseconds ReadTurn::Bound(TimePoint aNow, const ReadRank& aRank) const
+milliseconds ReadTurn::MaxAge(TimePoint aNow, const ReadRank& aRank) const
 {
   if (aRank.rank_ == 0 || (aRank.before_ == 0 && Reads(aNow))) {
-    return options_.every_;
+    return options_.interval_;
   }
   const auto doublings = std::bit_width(aRank.hosts_);
-  const milliseconds bound = options_.every_ +
-                             doublings * options_.spreadPerDoubling_ +
-                             aRank.rank_ * options_.step_;
-  const milliseconds latest =
-    options_.latest_ + options_.latestSpread_ * aRank.rank_ / aRank.hosts_;
-  return std::min(bound, latest);
+  const milliseconds maxAge = options_.interval_ +
+                              doublings * options_.propagationPerDoubling_ +
+                              aRank.rank_ * options_.rankStep_;
+  const milliseconds limit =
+    options_.maxAge_ + options_.maxAgeSpread_ * aRank.rank_ / aRank.hosts_;
+  return std::min(maxAge, limit);
 }
 
 bool ReadTurn::Reads(TimePoint aNow) const
 {
-  return read_ && aNow - *read_ < kTurnsUntilIdle * options_.every_;
+  return lastRead_ &&
+         aNow - *lastRead_ < kActiveReaderIntervals * options_.interval_;
 }
 
 milliseconds ReadTurn::DueIn(TimePoint aNow,
                              std::optional<milliseconds> aAge,
                              const ReadRank& aRank) const
 {
-  const auto pause = ceil<milliseconds>(tryAt_ - aNow);
+  const auto delay = ceil<milliseconds>(nextAttempt_ - aNow);
   if (!aAge) {
-    return pause;
+    return delay;
   }
-  return std::max(pause, Bound(aNow, aRank) - *aAge);
+  return std::max(delay, MaxAge(aNow, aRank) - *aAge);
 }
 
-milliseconds ReadTurn::PauseOf(const ReadRank& aRank) const
+milliseconds ReadTurn::RetryDelay(const ReadRank& aRank) const
 {
-  const auto doubled =
-    options_.pause_ * (1 << std::min(failures_ - 1, kMostDoublings));
-  const milliseconds pause = std::min(doubled, options_.mostPause_);
-  if (aRank.rank_ < options_.triers_) {
-    return pause;
+  const auto backoff = options_.retryDelay_ *
+                       (1 << std::min(consecutiveFailures_ - 1, kMaxDoublings));
+  const milliseconds delay = std::min(backoff, options_.maxRetryDelay_);
+  if (aRank.rank_ < options_.fastRetryHosts_) {
+    return delay;
   }
   const std::chrono::duration<double> shared(static_cast<double>(aRank.hosts_) /
-                                             options_.triesPerSecond_);
-  return std::max(pause, duration_cast<milliseconds>(shared));
+                                             options_.fleetRetriesPerSecond_);
+  return std::max(delay, duration_cast<milliseconds>(shared));
 }
 
 void ReadTurn::CancelDelay()
 {
-  if (failures_ == 0) {
-    tryAt_ = {};
+  if (consecutiveFailures_ == 0) {
+    nextAttempt_ = {};
   }
 }
 
 void ReadTurn::OnRead(TimePoint aNow)
 {
-  failures_ = 0;
-  tryAt_ = {};
-  read_ = aNow;
+  consecutiveFailures_ = 0;
+  nextAttempt_ = {};
+  lastRead_ = aNow;
 }
 
 void ReadTurn::OnFailed(TimePoint aNow, const ReadRank& aRank)
 {
-  ++failures_;
-  tryAt_ = aNow + PauseOf(aRank);
+  ++consecutiveFailures_;
+  nextAttempt_ = aNow + RetryDelay(aRank);
 }
 
 } // namespace gooseberrylift
--- a/src/core/membership/gooseberrylift-store-view.cc
+++ b/src/core/membership/gooseberrylift-store-view.cc
@@ -16,106 +16,111 @@
 ViewNews StoreView::OnList(std::vector<ViewedObject> aObjects,
                            std::uint64_t aRevision)
 {
-  ViewNews news;
+  ViewNews update;
   if (aRevision < revision_) {
-    return news;
+    return update;
   }
   std::set<std::string> listed;
   for (ViewedObject& object : aObjects) {
     listed.insert(object.name_);
-    Put(std::move(object), aRevision, news);
+    Upsert(std::move(object), aRevision, update);
   }
-  RemoveOthers(listed, aRevision, news);
-  floor_ = aRevision;
+  RemoveUnlisted(listed, aRevision, update);
+  removalsCompactedTo_ = aRevision;
   revision_ = aRevision;
-  return news;
+  return update;
 }
 
 ViewNews StoreView::OnTold(ViewChanges aChanges)
 {
-  ViewNews news;
+  ViewNews update;
   const std::uint64_t revision = aChanges.revision_;
   if (revision < revision_) {
-    return news; // it is behind what was heard meanwhile
+    return update; // newer changes have arrived meanwhile
   }
   for (ViewedObject& object : aChanges.objects_) {
-    Put(std::move(object), revision, news);
+    Upsert(std::move(object), revision, update);
   }
   for (const std::string& name : aChanges.removed_) {
-    Remove(name, revision, news);
+    Remove(name, revision, update);
   }
   if (aChanges.names_) {
-    RemoveOthers(
-      { aChanges.names_->begin(), aChanges.names_->end() }, revision, news);
-    floor_ = revision;
+    RemoveUnlisted(
+      { aChanges.names_->begin(), aChanges.names_->end() }, revision, update);
+    removalsCompactedTo_ = revision;
   }
   revision_ = revision;
-  return news;
+  return update;
 }
 
-void StoreView::Put(ViewedObject aObject,
-                    std::uint64_t aRevision,
-                    ViewNews& aNews)
+void StoreView::Upsert(ViewedObject aObject,
+                       std::uint64_t aRevision,
+                       ViewNews& aUpdate)
 {
-  Kept& kept = objects_[aObject.name_];
-  if (kept.stamp_ != 0 && kept.object_.version_ == aObject.version_) {
+  Entry& entry = objects_[aObject.name_];
+  if (entry.changeRevision_ != 0 &&
+      entry.object_.version_ == aObject.version_) {
     return;
   }
   const std::uint64_t changed = RevisionOf(aObject.version_);
-  kept.stamp_ = changed == 0 ? aRevision : changed;
-  kept.object_ = std::move(aObject);
-  aNews.objects_.push_back(kept.object_);
+  entry.changeRevision_ = changed == 0 ? aRevision : changed;
+  entry.object_ = std::move(aObject);
+  aUpdate.objects_.push_back(entry.object_);
 }
 
 void StoreView::Remove(const std::string& aName,
                        std::uint64_t aRevision,
-                       ViewNews& aNews)
+                       ViewNews& aUpdate)
 {
-  // Also one that was never known here: other hosts may have heard of it.
+  // Record the removal even if the object is not in this view: other hosts may
+  // have it.
   if (objects_.erase(aName) > 0) {
-    aNews.removed_.push_back(aName);
+    aUpdate.removed_.push_back(aName);
   }
-  // A long list is read in pages and holds for the revision of its first one;
-  // an object may have gone before a later page, so right after it.
-  removals_.push_back({ .name_ = aName, .stamp_ = aRevision + 1 });
-  if (removals_.size() > options_.removals_) {
-    floor_ = std::max(floor_, removals_.front().stamp_);
+  // A long list is read in pages and has the revision of the first page. The
+  // object may have been removed before a later page was read, so record the
+  // revision after it.
+  removals_.push_back({ .name_ = aName, .changeRevision_ = aRevision + 1 });
+  if (removals_.size() > options_.maxRemovals_) {
+    removalsCompactedTo_ =
+      std::max(removalsCompactedTo_, removals_.front().changeRevision_);
     removals_.pop_front();
   }
 }
 
-void StoreView::RemoveOthers(const std::set<std::string>& aNames,
-                             std::uint64_t aRevision,
-                             ViewNews& aNews)
+void StoreView::RemoveUnlisted(const std::set<std::string>& aListed,
+                               std::uint64_t aRevision,
+                               ViewNews& aUpdate)
 {
-  std::vector<std::string> gone;
-  for (const auto& [name, kept] : objects_) {
-    if (!aNames.contains(name)) {
-      gone.push_back(name);
+  std::vector<std::string> removed;
+  for (const auto& [name, entry] : objects_) {
+    if (!aListed.contains(name)) {
+      removed.push_back(name);
     }
   }
-  for (const std::string& name : gone) {
-    Remove(name, aRevision, aNews);
+  for (const std::string& name : removed) {
+    Remove(name, aRevision, aUpdate);
   }
 }
 
 ViewChanges StoreView::Since(std::uint64_t aRevision) const
 {
   ViewChanges changes{ .revision_ = revision_ };
-  for (const auto& [name, kept] : objects_) {
-    if (kept.stamp_ > aRevision) {
-      changes.objects_.push_back(kept.object_);
+  for (const auto& [name, entry] : objects_) {
+    if (entry.changeRevision_ > aRevision) {
+      changes.objects_.push_back(entry.object_);
     }
   }
-  if (aRevision < floor_) {
+  if (aRevision < removalsCompactedTo_) {
     changes.names_.emplace();
-    for (const auto& [name, kept] : objects_) {
+    for (const auto& [name, entry] : objects_) {
       changes.names_->push_back(name);
     }
     return changes;
   }
   for (const Removal& removal : removals_) {
-    if (removal.stamp_ > aRevision && !objects_.contains(removal.name_)) {
+    if (removal.changeRevision_ > aRevision &&
+        !objects_.contains(removal.name_)) {
       changes.removed_.push_back(removal.name_);
     }
   }
--- a/src/core/membership/gooseberrylift-zone-sums.cc
+++ b/src/core/membership/gooseberrylift-zone-sums.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// What shows a change by itself; the backlog changes with time.
+// The fields of which any difference is a change. The backlog also shrinks with
+// time.
 auto CountsOf(const EndpointShare& aShare)
 {
   return std::tie(
@@ -25,91 +26,94 @@
   return "zone/" + aZone;
 }
 
-bool ZoneSummer::Differs(const EndpointShare& aNew,
-                         const Told& aTold,
-                         TimePoint aNow)
+bool ZoneSummer::NeedsUpdate(const EndpointShare& aNew,
+                             const SentShare& aSent,
+                             TimePoint aNow)
 {
-  const auto passed =
-    std::chrono::duration_cast<std::chrono::microseconds>(aNow - aTold.at_);
+  const auto elapsed =
+    std::chrono::duration_cast<std::chrono::microseconds>(aNow - aSent.at_);
   const auto expected =
-    std::max(aTold.share_.backlog_ - passed, std::chrono::microseconds(0));
+    std::max(aSent.share_.backlog_ - elapsed, std::chrono::microseconds(0));
   const auto silent =
-    aTold.share_.silent_ +
-    std::chrono::duration_cast<std::chrono::milliseconds>(passed);
-  return CountsOf(aNew) != CountsOf(aTold.share_) ||
-         std::chrono::abs(aNew.backlog_ - expected) > options_.backlogChange_ ||
-         aNew.silent_ + options_.signOfLife_ < silent;
+    aSent.share_.silent_ +
+    std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
+  return CountsOf(aNew) != CountsOf(aSent.share_) ||
+         std::chrono::abs(aNew.backlog_ - expected) >
+           options_.backlogTolerance_ ||
+         aNew.silent_ + options_.activityInterval_ < silent;
 }
 
-void ZoneSummer::NoteChanges(const std::vector<EndpointShare>& aSums,
+void ZoneSummer::MarkChanges(const std::vector<EndpointShare>& aTotals,
                              TimePoint aNow)
 {
-  std::set<std::string> seen;
-  for (const EndpointShare& sum : aSums) {
-    seen.insert(sum.id_);
-    const auto [told, isNew] = told_.try_emplace(sum.id_);
-    if (isNew || Differs(sum, told->second, aNow)) {
-      told->second = { .share_ = sum, .at_ = aNow, .isNew_ = true };
+  std::set<std::string> listed;
+  for (const EndpointShare& total : aTotals) {
+    listed.insert(total.id_);
+    const auto [sent, isNew] = sentShares_.try_emplace(total.id_);
+    if (isNew || NeedsUpdate(total, sent->second, aNow)) {
+      sent->second = { .share_ = total, .at_ = aNow, .isPending_ = true };
     }
   }
-  for (auto& [id, told] : told_) {
-    const EndpointShare none{ .id_ = id };
-    if (!seen.contains(id) && CountsOf(none) != CountsOf(told.share_)) {
-      told = { .share_ = none, .at_ = aNow, .isNew_ = true };
+  for (auto& [id, sent] : sentShares_) {
+    const EndpointShare idle{ .id_ = id };
+    if (!listed.contains(id) && CountsOf(idle) != CountsOf(sent.share_)) {
+      sent = { .share_ = idle, .at_ = aNow, .isPending_ = true };
     }
   }
 }
 
-std::optional<ZoneSummer::Word> ZoneSummer::Next(
-  const std::vector<EndpointShare>& aSums,
+std::optional<ZoneSummer::Message> ZoneSummer::Next(
+  const std::vector<EndpointShare>& aTotals,
   TimePoint aNow)
 {
-  if (!whole_ || aNow - *whole_ >= options_.wholeEvery_) {
-    told_.clear();
-    NoteChanges(aSums, aNow);
-    for (auto& [id, told] : told_) {
-      told.isNew_ = false;
+  if (!lastSnapshot_ || aNow - *lastSnapshot_ >= options_.snapshotInterval_) {
+    sentShares_.clear();
+    MarkChanges(aTotals, aNow);
+    for (auto& [id, sent] : sentShares_) {
+      sent.isPending_ = false;
     }
-    whole_ = aNow;
-    sent_ = aNow;
-    return Word{ .part_ = LoadWordPart::kFirst, .shares_ = aSums };
+    lastSnapshot_ = aNow;
+    lastMessage_ = aNow;
+    return Message{ .part_ = LoadWordPart::kFirst, .shares_ = aTotals };
   }
-  NoteChanges(aSums, aNow);
-  Word word;
-  for (auto& [id, told] : told_) {
-    if (told.isNew_) {
-      told.isNew_ = false;
-      word.shares_.push_back(told.share_);
+  MarkChanges(aTotals, aNow);
+  Message message;
+  for (auto& [id, sent] : sentShares_) {
+    if (sent.isPending_) {
+      sent.isPending_ = false;
+      message.shares_.push_back(sent.share_);
     }
   }
-  if (word.shares_.empty() && aNow - sent_ < options_.aliveEvery_) {
+  if (message.shares_.empty() &&
+      aNow - lastMessage_ < options_.heartbeatInterval_) {
     return std::nullopt;
   }
-  sent_ = aNow;
-  return word;
+  lastMessage_ = aNow;
+  return message;
 }
 
 bool ZoneTurn::IsOwn(TimePoint aNow, std::size_t aRank) const
 {
-  return aRank == 0 ||
-         (aRank < options_.ready_ && aNow - heard_ > options_.silence_ * aRank);
+  return aRank == 0 || (aRank < options_.candidates_ &&
+                        aNow - lastHeard_ > options_.takeoverDelay_ * aRank);
 }
 
-bool ZoneSources::Accepts(const LoadWord& aWord, TimePoint aNow)
+bool ZoneSources::Accepts(const LoadWord& aMessage, TimePoint aNow)
 {
-  Source& source = sources_[aWord.zone_];
-  if (source.host_ == aWord.host_) {
-    source.heard_ = aNow;
+  Aggregator& accepted = aggregators_[aMessage.zone_];
+  if (accepted.host_ == aMessage.host_) {
+    accepted.lastHeard_ = aNow;
     return true;
   }
-  const bool isFree =
-    source.host_.empty() || aNow - source.heard_ > options_.silence_;
-  const bool takes = aWord.part_ == LoadWordPart::kFirst &&
-                     (isFree || RanksBefore(aWord.host_, source.host_));
-  if (takes) {
-    source = { .host_ = aWord.host_, .heard_ = aNow };
+  const bool canReplace = accepted.host_.empty() ||
+                          aNow - accepted.lastHeard_ > options_.silenceTimeout_;
+  const bool accepts =
+    aMessage.part_ == LoadWordPart::kFirst &&
+    (canReplace || RanksBefore(aMessage.host_, accepted.host_));
+  if (accepts) {
+    accepted = { .host_ = aMessage.host_, .lastHeard_ = aNow };
   }
-  return takes;
+  return accepts;
 }
 
 } // namespace gooseberrylift
--- a/test/core/gooseberrylift-peer-groups-test.cc
+++ b/test/core/gooseberrylift-peer-groups-test.cc
@@ -8,7 +8,7 @@
 
 TEST_GROUP(PeerGroupsTest)
 {
-  PeersInView view_{ .host_ = "host-0", .zone_ = "zone-0" };
+  PeerSnapshot view_{ .host_ = "host-0", .zone_ = "zone-0" };
   std::minstd_rand random_{ 1 };
 
   // Hosts of five zones in turn; this one is the first.
--- a/test/core/gooseberrylift-read-turn-test.cc
+++ b/test/core/gooseberrylift-read-turn-test.cc
@@ -42,8 +42,8 @@
 
 TEST(ReadTurnTest, TakesThePlaceOfHostsThatLostTheStore)
 {
-  const std::vector<ReadCandidate> others = { { .host_ = "a", .lost_ = true },
-                                              { .host_ = "b", .lost_ = true } };
+  const std::vector<ReadCandidate> others = { { .host_ = "a", .storeUnreachable_ = true },
+                                              { .host_ = "b", .storeUnreachable_ = true } };
   for (const char* self : { "c", "d", "e" }) {
     LONGS_EQUAL(0, RankReaders({ .host_ = self }, others).before_);
   }
--- a/test/core/gooseberrylift-store-view-test.cc
+++ b/test/core/gooseberrylift-store-view-test.cc
@@ -13,7 +13,7 @@
 
 TEST_GROUP(StoreViewTest)
 {
-  StoreView view_{ StoreView::Options{ .removals_ = 4 } };
+  StoreView view_{ StoreView::Options{ .maxRemovals_ = 4 } };
 
   using Known = std::map<std::string, std::string>; // versions by name
 
@@ -116,7 +116,7 @@
   constexpr std::size_t kHosts = 5;
   struct Host
   {
-    StoreView view_{ StoreView::Options{ .removals_ = 3 } };
+    StoreView view_{ StoreView::Options{ .maxRemovals_ = 3 } };
     Known known_; // what its parts were told, news by news
   };
   const auto note = [](Host& aHost, const ViewNews& aNews) {
