--- a/test/core/gooseberrylift-freshness-lease-test.cc
+++ b/test/core/gooseberrylift-freshness-lease-test.cc
@@ -12,100 +12,108 @@
 
 constexpr BootTime kStart{ 1000s };
 
-// A store whose one change takes a key away, and a host that follows it with
-// reads and watches. Times in ms since the start.
+// Simulates a store in which one key is revoked, and a host that follows it by
+// reads and watches. Times are in ms since the start.
 class Schedule
 {
 public:
   explicit Schedule(std::uint64_t aSeed)
     : random_(aSeed)
-    , revokedAt_(Draw(0, 20'000))
-    , muteFrom_(Draw(0, 20'000))
-    , cutFrom_(Draw(0, 20'000))
-    , cutFor_(Draw(0, 15'000))
+    , revokedAt_(Random(0, 20'000))
+    , stallStart_(Random(0, 20'000))
+    , partitionStart_(Random(0, 20'000))
+    , partitionDuration_(Random(0, 15'000))
   {
   }
 
-  // Plays 40 s. Returns by how much the promise was broken, 0 when it held.
-  std::int64_t Play()
+  // Simulates 40 s. Returns the longest time by which the key was accepted
+  // beyond the revocation time; 0 if it never was.
+  std::int64_t Run()
   {
     std::int64_t worst = 0;
     while (now_ < 40'000) {
-      Draw(0, 1) == 0 ? Read() : Watch();
+      Random(0, 1) == 0 ? Read() : Watch();
       Pause();
-      // A request is let in by the lease as it stands at this moment.
-      if (!knows_ && lease_.IsValid(At(now_))) {
-        worst = std::max(worst, now_ - (revokedAt_ + kRevoke));
+      // A request at this moment is accepted if the lease is valid.
+      if (!knowsRevocation_ && lease_.IsValid(At(now_))) {
+        worst = std::max(worst, now_ - (revokedAt_ + kRevokeWithin));
       }
     }
     return worst;
   }
 
 private:
-  static constexpr std::int64_t kRevoke = 5'000;
-  static constexpr std::int64_t kMute = 1'000; // of a watch, then it is cut
+  static constexpr std::int64_t kRevokeWithin = 5'000;
+  static constexpr std::int64_t kStall = 1'000; // then the watch is closed
 
   static BootTime At(std::int64_t aTime)
   {
     return kStart + milliseconds(aTime);
   }
 
-  std::int64_t Draw(std::int64_t aFrom, std::int64_t aTo)
+  std::int64_t Random(std::int64_t aFrom, std::int64_t aTo)
   {
     return std::uniform_int_distribution<std::int64_t>(aFrom, aTo)(random_);
   }
 
-  // The host may stand still for seconds between any two steps.
-  void Pause() { now_ += Draw(0, 20) == 0 ? Draw(0, 9'000) : Draw(0, 200); }
+  // The host may be paused for seconds between any two steps.
+  void Pause()
+  {
+    now_ += Random(0, 20) == 0 ? Random(0, 9'000) : Random(0, 200);
+  }
 
-  bool IsCut() const { return now_ >= cutFrom_ && now_ < cutFrom_ + cutFor_; }
+  bool IsPartitioned() const
+  {
+    return now_ >= partitionStart_ &&
+           now_ < partitionStart_ + partitionDuration_;
+  }
 
   void Read()
   {
-    const std::int64_t began = now_;
+    const std::int64_t readStart = now_;
     Pause();
-    if (IsCut()) {
+    if (IsPartitioned()) {
       now_ += 900; // the call times out
       return;
     }
-    const bool seen = now_ >= revokedAt_; // linearized here
-    Pause();                              // before the answer is looked at
-    knows_ = knows_ || seen;
-    lease_.OnProof(At(began));
+    const bool isRevoked = now_ >= revokedAt_; // linearization point
+    Pause(); // before the response is processed
+    knowsRevocation_ = knowsRevocation_ || isRevoked;
+    lease_.OnProof(At(readStart));
   }
 
   void Watch()
   {
     Pause();
-    if (IsCut()) {
+    if (IsPartitioned()) {
       now_ += 1'900;
       return;
     }
-    const bool mute = now_ >= muteFrom_ && now_ < muteFrom_ + kMute;
-    const bool isNews = now_ >= revokedAt_;
-    if (mute) {
-      // It ends while it is mute, and tells nothing, not even of changes made
-      // while this host stood still before it asked.
-      now_ += Draw(0, muteFrom_ + kMute - now_);
+    const bool stalled = now_ >= stallStart_ && now_ < stallStart_ + kStall;
+    const bool isRevoked = now_ >= revokedAt_;
+    if (stalled) {
+      // The watch ends while stalled and reports nothing, not even changes made
+      // while this host was paused before opening the watch.
+      now_ += Random(0, stallStart_ + kStall - now_);
       return;
     }
-    if (isNews) {
-      knows_ = true;
+    if (isRevoked) {
+      knowsRevocation_ = true;
       return;
     }
     now_ += std::min<std::int64_t>(
       1'500, std::max<std::int64_t>(revokedAt_ - now_, 0));
-    knows_ = knows_ || now_ >= revokedAt_;
+    knowsRevocation_ = knowsRevocation_ || now_ >= revokedAt_;
   }
 
   std::mt19937_64 random_;
   FreshnessLease lease_{ FreshnessLease::Options{} };
   std::int64_t now_ = 0;
   std::int64_t revokedAt_;
-  std::int64_t muteFrom_;
-  std::int64_t cutFrom_;
-  std::int64_t cutFor_;
-  bool knows_ = false; // of the change, so that the key is refused
+  std::int64_t stallStart_;
+  std::int64_t partitionStart_;
+  std::int64_t partitionDuration_;
+  bool knowsRevocation_ = false; // if set, the key is refused
 };
 
 } // namespace
@@ -115,13 +123,13 @@
   FreshnessLease lease_{ { .revokeWithin_ = 5s, .margin_ = 50ms } };
 };
 
-TEST(FreshnessLeaseTest, BelievesNoKeyBeforeTheFirstProof)
+TEST(FreshnessLeaseTest, IsInvalidBeforeTheFirstProof)
 {
   CHECK_FALSE(lease_.IsValid(kStart));
   CHECK_FALSE(lease_.Age(kStart).has_value());
 }
 
-TEST(FreshnessLeaseTest, CountsFromTheBeginningOfTheCallNotFromItsAnswer)
+TEST(FreshnessLeaseTest, ExpiresRelativeToTheStartOfTheRead)
 {
   lease_.OnProof(kStart);
   CHECK_TRUE(lease_.IsValid(kStart + 4'900ms));
@@ -135,15 +143,15 @@
   LONGS_EQUAL(1'000, lease_.Age(kStart + 3s)->count());
 }
 
-// What a caller with a revoked key sees: it is served for the revocation time
-// at most, on any host. The order: the key is taken away at any moment, while
-// the host reads or watches, is cut off from the store, hears a mute watch, or
-// stands still between two of its steps. Why: each proof counts from before its
-// call began, and the clock goes on while the host stands still.
-TEST(FreshnessLeaseTest, ServesNoRevokedKeyTooLongInAnySchedule)
+// A revoked key must not be accepted for longer than the revocation time. The
+// key is revoked at a random moment, while the host reads or watches, is
+// partitioned from the store, has a stalled watch, or is paused. It holds
+// because a proof counts from before its read started, and the clock advances
+// while the host is paused.
+TEST(FreshnessLeaseTest, NeverAcceptsARevokedKeyTooLongInRandomSchedules)
 {
   for (std::uint64_t seed = 1; seed <= 5'000; ++seed) {
-    const std::int64_t over = Schedule(seed).Play();
-    CHECK_TRUE_TEXT(over <= 0, ("seed " + std::to_string(seed)).c_str());
+    const std::int64_t overrun = Schedule(seed).Run();
+    CHECK_TRUE_TEXT(overrun <= 0, ("seed " + std::to_string(seed)).c_str());
   }
 }
--- a/test/core/gooseberrylift-load-word-test.cc
+++ b/test/core/gooseberrylift-load-word-test.cc
@@ -6,32 +6,32 @@
 using namespace gooseberrylift;
 using namespace std::chrono_literals;
 
-TEST_GROUP(LoadWordTest){ static LoadWord Word(int aShares){
-  LoadWord word{ .host_ = "entry-1", .sequence_ = 1'781'606'139'000'001 };
+TEST_GROUP(LoadMessageTest){ static LoadWord Message(int aShares){
+  LoadWord message{ .host_ = "entry-1", .sequence_ = 1'781'606'139'000'001 };
 for (int index = 0; index < aShares; ++index) {
-  word.shares_.push_back({ .id_ = "engine-" + std::to_string(index),
-                           .running_ = index,
-                           .tight_ = 1,
-                           .memoryTokens_ = 380'000,
-                           .backlog_ = 1'500ms,
-                           .deferred_ = 2,
-                           .silent_ = 40ms });
+  message.shares_.push_back({ .id_ = "engine-" + std::to_string(index),
+                              .running_ = index,
+                              .tight_ = 1,
+                              .memoryTokens_ = 380'000,
+                              .backlog_ = 1'500ms,
+                              .deferred_ = 2,
+                              .silent_ = 40ms });
 }
-return word;
+return message;
 }
 }
 ;
 
-TEST(LoadWordTest, SurvivesTheWay)
+TEST(LoadMessageTest, RoundTrips)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Word(3));
+  const std::vector<std::string> datagrams = EncodeLoadWord(Message(3));
   LONGS_EQUAL(1, datagrams.size());
-  const auto word = DecodeLoadWord(datagrams.front());
-  STRCMP_EQUAL("entry-1", word->host_.c_str());
-  CHECK_TRUE(word->sequence_ == 1'781'606'139'000'001);
-  CHECK_TRUE(word->part_ == LoadWordPart::kFirst);
-  LONGS_EQUAL(3, word->shares_.size());
-  const EndpointShare& share = word->shares_.back();
+  const auto message = DecodeLoadWord(datagrams.front());
+  STRCMP_EQUAL("entry-1", message->host_.c_str());
+  CHECK_TRUE(message->sequence_ == 1'781'606'139'000'001);
+  CHECK_TRUE(message->part_ == LoadWordPart::kFirst);
+  LONGS_EQUAL(3, message->shares_.size());
+  const EndpointShare& share = message->shares_.back();
   STRCMP_EQUAL("engine-2", share.id_.c_str());
   LONGS_EQUAL(2, share.running_);
   LONGS_EQUAL(380'000, share.memoryTokens_);
@@ -40,93 +40,93 @@
   LONGS_EQUAL(40, share.silent_.count());
 }
 
-TEST(LoadWordTest, SaysThatAHostHasNothingInWork)
+TEST(LoadMessageTest, EncodesAnEmptyLoad)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Word(0));
+  const std::vector<std::string> datagrams = EncodeLoadWord(Message(0));
   LONGS_EQUAL(1, datagrams.size());
   LONGS_EQUAL(0, DecodeLoadWord(datagrams.front())->shares_.size());
 }
 
-TEST(LoadWordTest, SplitsALongWordIntoPackets)
+TEST(LoadMessageTest, SplitsALongMessageIntoPackets)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Word(78));
+  const std::vector<std::string> datagrams = EncodeLoadWord(Message(78));
   std::size_t shares = 0;
   for (const std::string& datagram : datagrams) {
     CHECK_TRUE(datagram.size() <= 1'400);
-    const auto word = DecodeLoadWord(datagram);
-    CHECK_TRUE(word->part_ ==
+    const auto message = DecodeLoadWord(datagram);
+    CHECK_TRUE(message->part_ ==
                (shares == 0 ? LoadWordPart::kFirst : LoadWordPart::kMore));
-    shares += word->shares_.size();
+    shares += message->shares_.size();
   }
   LONGS_EQUAL(78, shares);
 }
 
-TEST(LoadWordTest, TakesNothingFromWhatIsNoWord)
+TEST(LoadMessageTest, RejectsInvalidDatagrams)
 {
   CHECK_FALSE(DecodeLoadWord("").has_value());
   CHECK_FALSE(DecodeLoadWord("hello").has_value());
-  const std::string whole = EncodeLoadWord(Word(3)).front();
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    CHECK_FALSE(DecodeLoadWord(whole.substr(0, size)).has_value());
+  const std::string datagram = EncodeLoadWord(Message(3)).front();
+  for (std::size_t size = 0; size < datagram.size(); ++size) {
+    CHECK_FALSE(DecodeLoadWord(datagram.substr(0, size)).has_value());
   }
 }
 
-TEST(LoadWordTest, TellsOfWhichZoneItIs)
+TEST(LoadMessageTest, RoundTripsTheZone)
 {
-  LoadWord word = Word(60);
-  word.zone_ = "a-zone-with-a-long-name";
-  word.passOn_ = true;
-  for (const std::string& datagram : EncodeLoadWord(word)) {
+  LoadWord message = Message(60);
+  message.zone_ = "a-zone-with-a-long-name";
+  message.passOn_ = true;
+  for (const std::string& datagram : EncodeLoadWord(message)) {
     CHECK_TRUE(datagram.size() <= 1'400);
-    const auto read = DecodeLoadWord(datagram);
-    STRCMP_EQUAL("a-zone-with-a-long-name", read->zone_.c_str());
-    CHECK_TRUE(read->passOn_);
+    const auto decoded = DecodeLoadWord(datagram);
+    STRCMP_EQUAL("a-zone-with-a-long-name", decoded->zone_.c_str());
+    CHECK_TRUE(decoded->passOn_);
   }
-  CHECK_TRUE(DecodeLoadWord(EncodeLoadWord(Word(1)).front())->zone_.empty());
+  CHECK_TRUE(DecodeLoadWord(EncodeLoadWord(Message(1)).front())->zone_.empty());
 }
 
-// What a host passes on must stay what it was: a later part that came out as
-// the first one would take the place of all the others.
-TEST(LoadWordTest, StaysWhatItWasWhenItIsPassedOn)
+// A relayed datagram must keep its kind: if a continuation were re-encoded as a
+// first datagram, receivers would replace everything received before it.
+TEST(LoadMessageTest, ReencodesARelayedDatagramUnchanged)
 {
-  for (const std::string& datagram : EncodeLoadWord(Word(70))) {
-    const auto word = DecodeLoadWord(datagram);
-    const std::vector<std::string> passedOn = EncodeLoadWord(*word);
-    LONGS_EQUAL(1, passedOn.size());
-    CHECK_TRUE(passedOn.front() == datagram);
+  for (const std::string& datagram : EncodeLoadWord(Message(70))) {
+    const auto message = DecodeLoadWord(datagram);
+    const std::vector<std::string> reencoded = EncodeLoadWord(*message);
+    LONGS_EQUAL(1, reencoded.size());
+    CHECK_TRUE(reencoded.front() == datagram);
   }
 }
 
-TEST(LoadWordTest, TellsAChangeAsOne)
+TEST(LoadMessageTest, RoundTripsADelta)
 {
-  LoadWord word = Word(17);
-  word.part_ = LoadWordPart::kChange;
-  const std::vector<std::string> datagrams = EncodeLoadWord(word);
+  LoadWord message = Message(17);
+  message.part_ = LoadWordPart::kChange;
+  const std::vector<std::string> datagrams = EncodeLoadWord(message);
   LONGS_EQUAL(1, datagrams.size());
   CHECK_TRUE(DecodeLoadWord(datagrams.front())->part_ == LoadWordPart::kChange);
 }
 
-TEST_GROUP(WordPaceTest)
+TEST_GROUP(LoadMessagePacerTest)
 {
   WordPace pace_{ WordPace::Options{} };
   TimePoint now_{ 1000s };
 
-  int ToldAtOnce(
-    std::size_t aPeers, std::chrono::milliseconds aEvery, int aMost)
+  int CountSentDeltas(
+    std::size_t aPeers, std::chrono::milliseconds aInterval, int aCount)
   {
-    int told = 0;
-    for (int change = 0; change < aMost; ++change) {
-      now_ += aEvery;
+    int sent = 0;
+    for (int delta = 0; delta < aCount; ++delta) {
+      now_ += aInterval;
       if (pace_.MayTell(now_, aPeers)) {
         pace_.OnTold(now_, aPeers);
-        ++told;
+        ++sent;
       }
     }
-    return told;
+    return sent;
   }
 };
 
-TEST(WordPaceTest, TellsTheFirstWholeWordAtOnceAndTheNextALittleLater)
+TEST(LoadMessagePacerTest, SendsTheFirstSnapshotAtOnceAndDelaysTheNext)
 {
   CHECK_TRUE(pace_.DueAt(now_, 8) == now_);
   pace_.OnSent(now_);
@@ -134,22 +134,22 @@
   CHECK_TRUE(pace_.DueAt(now_ + 1ms, 8) < now_ + 30ms);
 }
 
-// A host of a fleet of 91 places some three requests a second, a few of them at
-// the same moment; all of them are told at once.
-TEST(WordPaceTest, TellsEachPlacementOfAUsualLoadAtOnce)
+// A host in a fleet of 91 places about three requests a second, sometimes a few
+// at the same moment. All of them must be announced at once.
+TEST(LoadMessagePacerTest, SendsEachDeltaAtOnceUnderTypicalLoad)
 {
-  LONGS_EQUAL(30, ToldAtOnce(90, 300ms, 30));
+  LONGS_EQUAL(30, CountSentDeltas(90, 300ms, 30));
   now_ += 3s;
-  LONGS_EQUAL(4, ToldAtOnce(90, 1ms, 4));
+  LONGS_EQUAL(4, CountSentDeltas(90, 1ms, 4));
 }
 
-TEST(WordPaceTest, BoundsWhatItTellsUnderABurstAndInAVeryLargeFleet)
+TEST(LoadMessagePacerTest, LimitsDeltasInABurstAndInAVeryLargeFleet)
 {
-  CHECK_TRUE(ToldAtOnce(90, 10ms, 1'000) <= 10 * 600 / 90 + 5);
-  CHECK_TRUE(ToldAtOnce(2'000, 10ms, 1'000) <= 10 * 600 / 2'000 + 5);
+  CHECK_TRUE(CountSentDeltas(90, 10ms, 1'000) <= 10 * 600 / 90 + 5);
+  CHECK_TRUE(CountSentDeltas(2'000, 10ms, 1'000) <= 10 * 600 / 2'000 + 5);
 }
 
-TEST(WordPaceTest, SendsNoMoreWholeWordsToManyPeersThanToFew)
+TEST(LoadMessagePacerTest, LimitsTheSnapshotRateInLargeFleets)
 {
   LONGS_EQUAL(1'000, pace_.Interval(300).count());
   CHECK_TRUE(pace_.Interval(30) >= 100ms);
@@ -157,7 +157,7 @@
   LONGS_EQUAL(700, pace_.Interval(62).count());
 }
 
-TEST(WordPaceTest, RepeatsAWordThatMayBeLost)
+TEST(LoadMessagePacerTest, RepeatsASnapshotThatMayBeLost)
 {
   pace_.OnSent(now_);
   CHECK_FALSE(pace_.MustRepeat(now_ + 200ms, 8));
--- a/test/core/gooseberrylift-read-turn-test.cc
+++ b/test/core/gooseberrylift-read-turn-test.cc
@@ -13,48 +13,53 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-TEST_GROUP(ReadTurnTest)
+TEST_GROUP(StoreReadScheduleTest)
 {
-  ReadTurn turn_{ ReadTurn::Options{} };
+  ReadTurn schedule_{ ReadTurn::Options{} };
   TimePoint now_{ 1000s };
 
-  milliseconds Due(std::optional<milliseconds> aAge, const ReadRank& aRank)
+  milliseconds TimeUntilDue(std::optional<milliseconds> aAge,
+                            const ReadRank& aRank)
   {
-    return turn_.DueIn(now_, aAge, aRank);
+    return schedule_.DueIn(now_, aAge, aRank);
   }
 };
 
-TEST(ReadTurnTest, ReadsAtOnceWhereNothingIsKnown)
+TEST(StoreReadScheduleTest, IsDueAtOnceWithoutAnyKnownRead)
 {
-  CHECK_TRUE(Due(std::nullopt, {}) <= 0ms);
+  CHECK_TRUE(TimeUntilDue(std::nullopt, {}) <= 0ms);
   const ReadRank last{ .hosts_ = 300, .rank_ = 299, .before_ = 299 };
-  CHECK_TRUE(Due(std::nullopt, last) <= 0ms);
+  CHECK_TRUE(TimeUntilDue(std::nullopt, last) <= 0ms);
 }
 
-TEST(ReadTurnTest, LetsTheFirstHostReadEachSecondAndOthersOnlyWhenItDoesNot)
+TEST(StoreReadScheduleTest,
+     MakesTheFirstHostReadEachSecondAndOthersOnlyIfItDoesNot)
 {
   const ReadRank first{ .hosts_ = 6 };
   const ReadRank third{ .hosts_ = 6, .rank_ = 2, .before_ = 2 };
-  LONGS_EQUAL(0, Due(1'000ms, first).count());
-  CHECK_TRUE(Due(1'300ms, third) > 0ms);
-  CHECK_TRUE(Due(2'000ms, third) <= 0ms);
+  LONGS_EQUAL(0, TimeUntilDue(1'000ms, first).count());
+  CHECK_TRUE(TimeUntilDue(1'300ms, third) > 0ms);
+  CHECK_TRUE(TimeUntilDue(2'000ms, third) <= 0ms);
 }
 
-TEST(ReadTurnTest, TakesThePlaceOfHostsThatLostTheStore)
+TEST(StoreReadScheduleTest, TakesOverFromHostsThatLostTheStore)
 {
-  const std::vector<ReadCandidate> others = { { .host_ = "a", .storeUnreachable_ = true },
-                                              { .host_ = "b", .storeUnreachable_ = true } };
+  const std::vector<ReadCandidate> others = {
+    { .host_ = "a", .storeUnreachable_ = true },
+    { .host_ = "b", .storeUnreachable_ = true }
+  };
   for (const char* self : { "c", "d", "e" }) {
     LONGS_EQUAL(0, RankReaders({ .host_ = self }, others).before_);
   }
-  // Later than the first host, and each second from its first reading on.
+  // It takes over later than the first host would read, and then reads each
+  // second.
   const ReadRank third{ .hosts_ = 3, .rank_ = 2, .before_ = 0 };
-  CHECK_TRUE(Due(1'000ms, third) > 0ms);
-  turn_.OnRead(now_);
-  LONGS_EQUAL(0, Due(1'000ms, third).count());
+  CHECK_TRUE(TimeUntilDue(1'000ms, third) > 0ms);
+  schedule_.OnRead(now_);
+  LONGS_EQUAL(0, TimeUntilDue(1'000ms, third).count());
 }
 
-TEST(ReadTurnTest, LeavesReadingToOthersWhileItStops)
+TEST(StoreReadScheduleTest, RanksLastWhileStopping)
 {
   const std::vector<ReadCandidate> others = { { .host_ = "a" },
                                               { .host_ = "b" } };
@@ -64,7 +69,7 @@
               RankReaders({ .host_ = "c" }, { { "a", false, true } }).hosts_);
 }
 
-TEST(ReadTurnTest, RanksAllHostsAlikeWhoeverLooks)
+TEST(StoreReadScheduleTest, GivesEachHostADistinctRank)
 {
   std::vector<std::size_t> ranks;
   for (int self = 0; self < 60; ++self) {
@@ -83,240 +88,245 @@
   }
 }
 
-TEST(ReadTurnTest, TriesAFewTimesASecondOverTheFleetWhileTheStoreIsLost)
+TEST(StoreReadScheduleTest, LimitsTheFleetsRetryRateDuringAnOutage)
 {
   const ReadRank first{ .hosts_ = 300 };
   const ReadRank last{ .hosts_ = 300, .rank_ = 299 };
-  turn_.OnFailed(now_, first);
-  CHECK_TRUE(Due(9s, first) <= 500ms);
+  schedule_.OnFailed(now_, first);
+  CHECK_TRUE(TimeUntilDue(9s, first) <= 500ms);
   ReadTurn other{ ReadTurn::Options{} };
   other.OnFailed(now_, last);
   CHECK_TRUE(other.DueIn(now_, 9s, last) >= 60s);
-  CHECK_TRUE(turn_.HasLostStore());
-  turn_.OnRead(now_);
-  CHECK_FALSE(turn_.HasLostStore());
+  CHECK_TRUE(schedule_.HasLostStore());
+  schedule_.OnRead(now_);
+  CHECK_FALSE(schedule_.HasLostStore());
 }
 
-// Hosts in virtual time: each exchanges with a few others each round, as hosts
-// do, and reads by its turn. What callers get: keys stay believed and changes
-// arrive within a bound on every host. What the store gets: calls that hardly
-// follow the number of hosts.
+// The tests below simulate a fleet in virtual time. Each host exchanges its
+// status with a few others in each round and reads the store by its schedule.
+// They check that the latest read known to any host stays recent enough to
+// accept keys, and that the number of store calls hardly depends on the fleet
+// size.
 namespace {
 
 constexpr milliseconds kTick{ 50 };
 
-struct PlayedHost
+struct SimulatedHost
 {
-  ReadTurn turn_{ ReadTurn::Options{} };
-  std::optional<TimePoint> reading_; // the youngest known
-  bool hasStore_ = true;
-  bool runs_ = true;
-  bool alone_ = false; // cut off from the other hosts
+  ReadTurn schedule_{ ReadTurn::Options{} };
+  std::optional<TimePoint> latestRead_; // by any host, as known to this one
+  bool canReachStore_ = true;
+  bool isRunning_ = true;
+  bool isPartitioned_ = false; // from the other hosts
 };
 
-class PlayedFleet
+class SimulatedFleet
 {
 public:
-  explicit PlayedFleet(std::size_t aHosts)
+  explicit SimulatedFleet(std::size_t aHosts)
     : hosts_(aHosts)
     , random_(aHosts)
   {
   }
 
-  std::vector<PlayedHost>& Hosts() { return hosts_; }
-  int Calls() const { return calls_; }
+  std::vector<SimulatedHost>& Hosts() { return hosts_; }
+  int StoreCalls() const { return storeCalls_; }
 
-  void Play(milliseconds aFor)
+  void Run(milliseconds aDuration)
   {
-    const TimePoint end = now_ + aFor;
+    const TimePoint end = now_ + aDuration;
     for (; now_ < end; now_ += kTick) {
       for (std::size_t host = 0; host < hosts_.size(); ++host) {
         Read(host);
         if (random_() % 3 == 0) { // a round each 150 ms
-          for (int partner = 0; partner < Partners(); ++partner) {
+          for (int exchange = 0; exchange < ExchangesPerRound(); ++exchange) {
             Exchange(host);
           }
         }
       }
-      NoteAges();
+      UpdateMaxAge();
     }
   }
 
-  // Gives the greatest age of a reading on any host since the last call.
-  milliseconds OldestSince() { return std::exchange(oldest_, 0ms); }
+  // Returns the maximum age, on any host, of the latest read known to it since
+  // the last call, and resets it.
+  milliseconds TakeMaxAge() { return std::exchange(maxAge_, 0ms); }
 
 private:
-  // Hosts are numbered by their rank.
+  // A host's index is its rank.
   ReadRank RankOf(std::size_t aHost) const
   {
     ReadRank rank;
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
-      const PlayedHost& peer = hosts_[other];
-      const bool heard =
-        peer.runs_ && !peer.alone_ && !hosts_[aHost].alone_ && other != aHost;
-      rank.hosts_ += heard ? 1 : 0;
-      if (heard && other < aHost) {
+      const SimulatedHost& peer = hosts_[other];
+      const bool isVisible = peer.isRunning_ && !peer.isPartitioned_ &&
+                             !hosts_[aHost].isPartitioned_ && other != aHost;
+      rank.hosts_ += isVisible ? 1 : 0;
+      if (isVisible && other < aHost) {
         ++rank.rank_;
-        rank.before_ += peer.turn_.HasLostStore() ? 0 : 1;
+        rank.before_ += peer.schedule_.HasLostStore() ? 0 : 1;
       }
     }
     return rank;
   }
 
-  std::optional<milliseconds> AgeOf(const PlayedHost& aHost) const
+  std::optional<milliseconds> AgeOf(const SimulatedHost& aHost) const
   {
-    if (!aHost.reading_) {
+    if (!aHost.latestRead_) {
       return std::nullopt;
     }
-    return std::chrono::duration_cast<milliseconds>(now_ - *aHost.reading_);
+    return std::chrono::duration_cast<milliseconds>(now_ - *aHost.latestRead_);
   }
 
   void Read(std::size_t aHost)
   {
-    PlayedHost& host = hosts_[aHost];
+    SimulatedHost& host = hosts_[aHost];
     const ReadRank rank = RankOf(aHost);
-    if (!host.runs_ || host.turn_.DueIn(now_, AgeOf(host), rank) > 0ms) {
+    if (!host.isRunning_ ||
+        host.schedule_.DueIn(now_, AgeOf(host), rank) > 0ms) {
       return;
     }
-    ++calls_;
-    if (host.hasStore_) {
-      host.reading_ = now_;
-      host.turn_.OnRead(now_);
+    ++storeCalls_;
+    if (host.canReachStore_) {
+      host.latestRead_ = now_;
+      host.schedule_.OnRead(now_);
     } else {
-      host.turn_.OnFailed(now_, rank);
+      host.schedule_.OnFailed(now_, rank);
     }
   }
 
-  // As hosts have: three a round in a small fleet, one or two in a large one.
-  int Partners() { return hosts_.size() < 32 ? 3 : 1 + random_() % 2; }
+  // As in production: three a round in a small fleet, one or two in a large
+  // one.
+  int ExchangesPerRound() { return hosts_.size() < 32 ? 3 : 1 + random_() % 2; }
 
   void Exchange(std::size_t aHost)
   {
-    PlayedHost& host = hosts_[aHost];
-    PlayedHost& peer = hosts_[random_() % hosts_.size()];
-    if (host.runs_ && peer.runs_ && !host.alone_ && !peer.alone_ &&
-        peer.reading_ && (!host.reading_ || *peer.reading_ > *host.reading_)) {
-      host.reading_ = peer.reading_;
+    SimulatedHost& host = hosts_[aHost];
+    SimulatedHost& peer = hosts_[random_() % hosts_.size()];
+    if (host.isRunning_ && peer.isRunning_ && !host.isPartitioned_ &&
+        !peer.isPartitioned_ && peer.latestRead_ &&
+        (!host.latestRead_ || *peer.latestRead_ > *host.latestRead_)) {
+      host.latestRead_ = peer.latestRead_;
     }
   }
 
-  void NoteAges()
+  void UpdateMaxAge()
   {
-    for (const PlayedHost& host : hosts_) {
-      if (host.runs_ && host.reading_) {
-        oldest_ = std::max(oldest_, *AgeOf(host));
+    for (const SimulatedHost& host : hosts_) {
+      if (host.isRunning_ && host.latestRead_) {
+        maxAge_ = std::max(maxAge_, *AgeOf(host));
       }
     }
   }
 
-  std::vector<PlayedHost> hosts_;
+  std::vector<SimulatedHost> hosts_;
   std::minstd_rand random_;
   TimePoint now_{ 1000s };
-  milliseconds oldest_{ 0 };
-  int calls_ = 0;
+  milliseconds maxAge_{ 0 };
+  int storeCalls_ = 0;
 };
 
 } // namespace
 
-TEST_GROUP(ReadTurnFleetTest){};
+TEST_GROUP(StoreReadScheduleFleetTest){};
 
-// Each host that reads for itself costs a call a second at least: 300 hosts
-// 9,000 in this time.
-TEST(ReadTurnFleetTest, CostsAFewCallsASecondAtEverySize)
+// If each host read for itself, each would make at least one call a second: 300
+// hosts would make 9,000 calls in this time.
+TEST(StoreReadScheduleFleetTest, MakesAFewCallsASecondAtAnyFleetSize)
 {
   for (const std::size_t hosts : { 1, 6, 23, 91, 295 }) {
-    PlayedFleet fleet(hosts);
-    fleet.Play(5s);
-    const int before = fleet.Calls();
-    (void)fleet.OldestSince();
-    fleet.Play(30s);
-    CHECK_TRUE(fleet.Calls() - before <= 30 * 4);
-    CHECK_TRUE(fleet.OldestSince() < 3s);
+    SimulatedFleet fleet(hosts);
+    fleet.Run(5s);
+    const int before = fleet.StoreCalls();
+    (void)fleet.TakeMaxAge();
+    fleet.Run(30s);
+    CHECK_TRUE(fleet.StoreCalls() - before <= 30 * 4);
+    CHECK_TRUE(fleet.TakeMaxAge() < 3s);
   }
 }
 
-// What callers must not see is a host that stops believing keys, which it does
-// after nearly five seconds. The order: the first hosts die one after the
-// other, each as soon as the next has taken its place.
-TEST(ReadTurnFleetTest, IsReadOnWhenItsReadersDieInTurn)
+// A host refuses keys if its latest known read is nearly five seconds old. The
+// first hosts by rank stop one after another, each as soon as the next one has
+// taken over.
+TEST(StoreReadScheduleFleetTest, KeepsReadingWhenReadersStopOneAfterAnother)
 {
   for (const std::size_t hosts : { 6, 23, 295 }) {
-    PlayedFleet fleet(hosts);
-    fleet.Play(5s);
-    (void)fleet.OldestSince();
-    for (std::size_t dead = 0; dead + 1 < std::min<std::size_t>(hosts, 8);
-         ++dead) {
-      fleet.Hosts()[dead].runs_ = false;
-      fleet.Play(3s);
+    SimulatedFleet fleet(hosts);
+    fleet.Run(5s);
+    (void)fleet.TakeMaxAge();
+    for (std::size_t stopped = 0; stopped + 1 < std::min<std::size_t>(hosts, 8);
+         ++stopped) {
+      fleet.Hosts()[stopped].isRunning_ = false;
+      fleet.Run(3s);
     }
-    CHECK_TRUE(fleet.OldestSince() < 4s);
+    CHECK_TRUE(fleet.TakeMaxAge() < 4s);
   }
 }
 
-// The store refuses a third of the hosts, the first ones among them, and serves
-// the others. Nobody's keys may lapse.
-TEST(ReadTurnFleetTest, FindsAHostThatTheStoreStillServes)
+// The store refuses a third of the hosts, including the first ones by rank, and
+// serves the others. No host may start refusing keys.
+TEST(StoreReadScheduleFleetTest, FindsAHostThatCanStillReachTheStore)
 {
   for (const std::size_t hosts : { 6, 23, 295 }) {
-    PlayedFleet fleet(hosts);
-    fleet.Play(5s);
-    (void)fleet.OldestSince();
+    SimulatedFleet fleet(hosts);
+    fleet.Run(5s);
+    (void)fleet.TakeMaxAge();
     for (std::size_t host = 0; host < hosts / 3; ++host) {
-      fleet.Hosts()[host * 3 / 2].hasStore_ = false;
+      fleet.Hosts()[host * 3 / 2].canReachStore_ = false;
     }
     for (std::size_t host = 0; host < 2; ++host) {
-      fleet.Hosts()[host].hasStore_ = false;
+      fleet.Hosts()[host].canReachStore_ = false;
     }
-    fleet.Play(9s);
-    CHECK_TRUE(fleet.OldestSince() < 4s);
+    fleet.Run(9s);
+    CHECK_TRUE(fleet.TakeMaxAge() < 4s);
   }
 }
 
-// The store is away for all. What it gets meanwhile is a try of each host
-// before its keys are refused, and a few a second beside these; what callers
-// get is that all hosts are back at it soon after it returned.
-TEST(ReadTurnFleetTest, CostsLittleWhileTheStoreIsAwayAndIsSoonBack)
+// The store is unavailable to all hosts. Meanwhile each host makes one attempt
+// before it refuses keys, plus a few a second over the whole fleet. All hosts
+// must have recent data soon after the store recovers.
+TEST(StoreReadScheduleFleetTest, LimitsCallsDuringAnOutageAndRecoversSoon)
 {
   for (const std::size_t hosts : { 6, 23, 295 }) {
-    PlayedFleet fleet(hosts);
-    fleet.Play(5s);
-    const int before = fleet.Calls();
-    for (PlayedHost& host : fleet.Hosts()) {
-      host.hasStore_ = false;
+    SimulatedFleet fleet(hosts);
+    fleet.Run(5s);
+    const int before = fleet.StoreCalls();
+    for (SimulatedHost& host : fleet.Hosts()) {
+      host.canReachStore_ = false;
     }
-    fleet.Play(9s);
-    CHECK_TRUE(fleet.Calls() - before < static_cast<int>(hosts) + 120);
-    for (PlayedHost& host : fleet.Hosts()) {
-      host.hasStore_ = true;
+    fleet.Run(9s);
+    CHECK_TRUE(fleet.StoreCalls() - before < static_cast<int>(hosts) + 120);
+    for (SimulatedHost& host : fleet.Hosts()) {
+      host.canReachStore_ = true;
     }
-    fleet.Play(4s);
-    (void)fleet.OldestSince();
-    fleet.Play(3s);
-    CHECK_TRUE(fleet.OldestSince() < 3s);
+    fleet.Run(4s);
+    (void)fleet.TakeMaxAge();
+    fleet.Run(3s);
+    CHECK_TRUE(fleet.TakeMaxAge() < 3s);
   }
 }
 
-// Callers of a host that the others' readings don't reach, though it sees that
-// they live, must not be refused. Why: each comes to its turn in time.
-TEST(ReadTurnTest, ReadsBeforeKeysAreRefusedHoweverManyAreBeforeIt)
+// A host may see that others are live without receiving the results of their
+// reads. It must read the store itself before it would have to refuse keys.
+TEST(StoreReadScheduleTest, IsDueBeforeKeysAreRefusedAtAnyRank)
 {
   for (const std::size_t hosts : { 100, 300, 2'000 }) {
     const ReadRank last{ .hosts_ = hosts,
                          .rank_ = hosts - 1,
                          .before_ = hosts - 1 };
-    CHECK_TRUE(Due(4'300ms, last) <= 0ms);
-    CHECK_TRUE(Due(3'300ms, last) > 0ms);
+    CHECK_TRUE(TimeUntilDue(4'300ms, last) <= 0ms);
+    CHECK_TRUE(TimeUntilDue(3'300ms, last) > 0ms);
   }
 }
 
-// A host that hears none of the others but has the store serves its callers as
-// long as it lasts.
-TEST(ReadTurnFleetTest, LetsAHostThatIsCutOffFromTheOthersReadForItself)
+// A host that is partitioned from the others but can reach the store must go on
+// accepting keys.
+TEST(StoreReadScheduleFleetTest, LetsAPartitionedHostReadForItself)
 {
-  PlayedFleet fleet(23);
-  fleet.Play(5s);
-  (void)fleet.OldestSince();
-  fleet.Hosts()[17].alone_ = true;
-  fleet.Play(10s);
-  CHECK_TRUE(fleet.OldestSince() < 3s);
+  SimulatedFleet fleet(23);
+  fleet.Run(5s);
+  (void)fleet.TakeMaxAge();
+  fleet.Hosts()[17].isPartitioned_ = true;
+  fleet.Run(10s);
+  CHECK_TRUE(fleet.TakeMaxAge() < 3s);
 }
--- a/test/core/gooseberrylift-store-view-test.cc
+++ b/test/core/gooseberrylift-store-view-test.cc
@@ -15,7 +15,7 @@
 {
   StoreView view_{ StoreView::Options{ .maxRemovals_ = 4 } };
 
-  using Known = std::map<std::string, std::string>; // versions by name
+  using Versions = std::map<std::string, std::string>; // versions by name
 
   static ViewedObject Object(const std::string& aName,
                              const std::string& aVersion)
@@ -24,7 +24,7 @@
   }
 };
 
-TEST(StoreViewTest, GivesTheWholeKindToWhoKnowsNothing)
+TEST(StoreViewTest, ReturnsEverythingSinceRevisionZero)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
   const ViewChanges changes = view_.Since(0);
@@ -33,7 +33,7 @@
   LONGS_EQUAL(10, changes.revision_);
 }
 
-TEST(StoreViewTest, GivesOnlyWhatChangedToWhoKnowsTheRest)
+TEST(StoreViewTest, ReturnsOnlyChangesSinceARevision)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
   view_.OnTold({ .revision_ = 12,
@@ -47,20 +47,20 @@
   CHECK_TRUE(view_.Since(12).objects_.empty());
 }
 
-TEST(StoreViewTest, SaysWhatIsNewInAList)
+TEST(StoreViewTest, ReportsWhatAListChanged)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
-  const ViewNews news = view_.OnList({ Object("b", "15") }, 20);
-  LONGS_EQUAL(1, news.objects_.size());
-  STRCMP_EQUAL("b", news.objects_.front().name_.c_str());
-  LONGS_EQUAL(1, news.removed_.size());
-  STRCMP_EQUAL("a", news.removed_.front().c_str());
+  const ViewNews update = view_.OnList({ Object("b", "15") }, 20);
+  LONGS_EQUAL(1, update.objects_.size());
+  STRCMP_EQUAL("b", update.objects_.front().name_.c_str());
+  LONGS_EQUAL(1, update.removed_.size());
+  STRCMP_EQUAL("a", update.removed_.front().c_str());
   const ViewChanges changes = view_.Since(10);
   STRCMP_EQUAL("b", changes.objects_.front().name_.c_str());
   LONGS_EQUAL(1, changes.names_->size()); // "a" is not among them
 }
 
-TEST(StoreViewTest, TakesNothingFromAListFromBeforeWhatItKnows)
+TEST(StoreViewTest, IgnoresUpdatesOlderThanTheView)
 {
   view_.OnTold({ .revision_ = 20, .objects_ = { Object("a", "20") } });
   CHECK_TRUE(view_.OnList({}, 19).Empty());
@@ -69,7 +69,7 @@
   LONGS_EQUAL(1, view_.Since(0).objects_.size());
 }
 
-TEST(StoreViewTest, GivesAllNamesWhenItForgotWhatWasRemoved)
+TEST(StoreViewTest, ReturnsAllNamesWhenRemovalsWereDiscarded)
 {
   view_.OnList({ Object("keep", "1") }, 10);
   for (std::uint64_t revision = 11; revision < 20; ++revision) {
@@ -82,8 +82,8 @@
   CHECK_FALSE(view_.Since(18).names_.has_value());
 }
 
-// An object that came back must not be told as removed.
-TEST(StoreViewTest, TellsAnObjectThatCameBackAsThere)
+// An object that was removed and created again must not be reported as removed.
+TEST(StoreViewTest, ReportsARecreatedObjectAsPresent)
 {
   view_.OnList({ Object("a", "1") }, 10);
   view_.OnTold({ .revision_ = 11, .removed_ = { "a" } });
@@ -93,43 +93,44 @@
   LONGS_EQUAL(0, changes.removed_.size());
 }
 
-// Callers must not be sent to an endpoint that is gone. The order: a host reads
-// a list in two pages; between these an entry of the second page goes, which
-// the list's revision does not count. Another host that has heard of the entry
-// elsewhere, up to just that revision, must be told when it asks again.
-TEST(StoreViewTest, TellsWhatWentBetweenTwoPagesOfAList)
+// A removed endpoint must not keep receiving requests. A host reads a list in
+// two pages, and an entry of the second page is removed between them, after the
+// list's revision. Another host that has the entry and is up to date to exactly
+// that revision must receive the removal when it asks again.
+TEST(StoreViewTest, ReportsARemovalBetweenTwoPagesOfAList)
 {
   view_.OnList({ Object("a", "1"), Object("z", "2") }, 5);
-  view_.OnList({ Object("a", "1") }, 10); // "z" went at 11, after page one
+  // "z" was removed at revision 11, after the first page.
+  view_.OnList({ Object("a", "1") }, 10);
   view_.OnList({ Object("a", "1"), Object("b", "12") }, 12);
   const ViewChanges changes = view_.Since(10);
   CHECK_TRUE(changes.names_.has_value());
   LONGS_EQUAL(2, changes.names_->size());
 }
 
-// Callers see the same endpoints whichever hosts read for theirs. The order: a
-// store changes at random; any host lists it at any time, or fetches from any
-// other what this one has more, as headlines of revisions lead it to. Why it
-// holds: what is told is stamped at or after its own change.
-TEST(StoreViewTest, KeepsAllHostsRightWhoeverReadsAndWhoeverTells)
+// All hosts must converge to the state of the store, whichever host reads it.
+// The store changes at random; any host lists it at any time, or fetches
+// changes from any host with a higher revision. It holds because each change is
+// recorded with a revision at or after the actual one.
+TEST(StoreViewTest, ConvergesOnAllHostsInRandomSchedules)
 {
   constexpr std::size_t kHosts = 5;
   struct Host
   {
     StoreView view_{ StoreView::Options{ .maxRemovals_ = 3 } };
-    Known known_; // what its parts were told, news by news
+    Versions versions_; // built up from the updates that the view reported
   };
-  const auto note = [](Host& aHost, const ViewNews& aNews) {
-    for (const ViewedObject& object : aNews.objects_) {
-      aHost.known_[object.name_] = object.version_;
+  const auto record = [](Host& aHost, const ViewNews& aUpdate) {
+    for (const ViewedObject& object : aUpdate.objects_) {
+      aHost.versions_[object.name_] = object.version_;
     }
-    for (const std::string& gone : aNews.removed_) {
-      aHost.known_.erase(gone);
+    for (const std::string& removed : aUpdate.removed_) {
+      aHost.versions_.erase(removed);
     }
   };
   for (unsigned seed = 0; seed < 300; ++seed) {
     std::mt19937 random(seed);
-    Known store;
+    Versions store;
     std::uint64_t revision = 1;
     std::array<Host, kHosts> hosts;
     const auto list = [&](Host& aHost) {
@@ -137,15 +138,15 @@
       for (const auto& [name, version] : store) {
         objects.push_back(Object(name, version));
       }
-      note(aHost, aHost.view_.OnList(std::move(objects), revision));
+      record(aHost, aHost.view_.OnList(std::move(objects), revision));
     };
     const auto fetch = [&](Host& aHost, const Host& aFrom) {
       if (aFrom.view_.Revision() > aHost.view_.Revision()) {
         ViewChanges changes = aFrom.view_.Since(aHost.view_.Revision());
         if (random() % 4 == 0) {
-          list(aHost); // it comes late: the host has read meanwhile
+          list(aHost); // the changes arrive after a newer list
         }
-        note(aHost, aHost.view_.OnTold(std::move(changes)));
+        record(aHost, aHost.view_.OnTold(std::move(changes)));
       }
     };
     for (int step = 0; step < 300; ++step) {
@@ -164,84 +165,88 @@
     list(hosts[0]);
     for (Host& host : hosts) {
       fetch(host, hosts[0]);
-      CHECK_TRUE(host.known_ == store);
+      CHECK_TRUE(host.versions_ == store);
     }
   }
 }
 
-// A proof that goes from host to host: what the users must never see is a key
-// that is honoured longer than the bound after it was taken away.
+// A proof of freshness is relayed from host to host. No host may accept a key
+// for longer than the revocation time after it was revoked.
 TEST_GROUP(RelayedProofTest){};
 
-// What a schedule did with the key.
+// Whether the key was accepted in a schedule.
 struct KeyUse
 {
-  bool honoured_ = false;
-  bool tooLate_ = false; // honoured beyond the bound
+  bool accepted_ = false;
+  bool tooLate_ = false; // accepted beyond the revocation time
 };
 
-// The order, at random: the first host reads; each next one asks the one before
-// it, stands still, is answered late, and stands still again before it takes
-// the answer in; the last one checks the key at some later time. The key is
-// taken away right after the read began, unseen.
-KeyUse PassOnAProof(std::mt19937_64& aRandom, bool aCountsFromTheQuestion)
+// Runs a random schedule: the first host reads the store; each further host
+// requests the proof from the one before it, the response may be late, and the
+// host may be paused before it processes the response. The last host checks the
+// key at some later time. The key is revoked right after the read started, so
+// the read does not show it.
+KeyUse RelayProof(std::mt19937_64& aRandom, bool aCountFromRequest)
 {
-  constexpr auto kRevoke = 5'000ms;
-  const auto span = [&aRandom](int aMost) {
-    return std::chrono::milliseconds(aRandom() % aMost);
+  constexpr auto kRevokeWithin = 5'000ms;
+  const auto randomDuration = [&aRandom](int aBound) {
+    return std::chrono::milliseconds(aRandom() % aBound);
   };
   struct Clock
   {
-    std::chrono::milliseconds offset_{ 0 }; // each machine has its own
-    BootTime At(std::chrono::milliseconds aTrue) const
+    std::chrono::milliseconds offset_{ 0 }; // differs between machines
+    BootTime At(std::chrono::milliseconds aTime) const
     {
-      return BootTime(aTrue + offset_);
+      return BootTime(aTime + offset_);
     }
   };
-  const auto readBegan = 10'000ms + span(1000);
-  auto now = readBegan + span(500); // it holds what it read
-  Clock holder{ span(1'000'000) };
-  BootTime proof = holder.At(readBegan);
+  const auto readStart = 10'000ms + randomDuration(1000);
+  auto now = readStart + randomDuration(500); // the response is processed
+  Clock holder{ randomDuration(1'000'000) };
+  BootTime proof = holder.At(readStart);
   const std::size_t hops = 1 + aRandom() % 4;
   for (std::size_t hop = 0; hop < hops; ++hop) {
-    const Clock asker{ span(1'000'000) };
-    const auto asked = now + span(400);
-    const auto answered =
-      asked + span(10) + (aRandom() % 8 == 0 ? span(3000) : 0ms);
-    const auto age = holder.At(answered) - proof;
-    now = answered + span(10) + (aRandom() % 8 == 0 ? span(3000) : 0ms);
-    proof = asker.At(aCountsFromTheQuestion ? asked : now) - age;
-    holder = asker;
+    const Clock requester{ randomDuration(1'000'000) };
+    const auto requestSent = now + randomDuration(400);
+    const auto responseSent = requestSent + randomDuration(10) +
+                              (aRandom() % 8 == 0 ? randomDuration(3000) : 0ms);
+    const auto age = holder.At(responseSent) - proof;
+    now = responseSent + randomDuration(10) +
+          (aRandom() % 8 == 0 ? randomDuration(3000) : 0ms);
+    proof = requester.At(aCountFromRequest ? requestSent : now) - age;
+    holder = requester;
   }
-  const auto used = now + span(4000);
-  FreshnessLease lease(FreshnessLease::Options{ .revokeWithin_ = kRevoke });
+  const auto used = now + randomDuration(4000);
+  FreshnessLease lease(
+    FreshnessLease::Options{ .revokeWithin_ = kRevokeWithin });
   lease.OnProof(proof);
-  const bool honoured = lease.IsValid(holder.At(used));
-  return { .honoured_ = honoured,
-           .tooLate_ = honoured && used - readBegan > kRevoke };
+  const bool accepted = lease.IsValid(holder.At(used));
+  return { .accepted_ = accepted,
+           .tooLate_ = accepted && used - readStart > kRevokeWithin };
 }
 
-// Why it holds: the age is measured after the question came, so it is counted
-// from the question on at the latest.
-TEST(RelayedProofTest, HonoursNoKeyBeyondTheBoundWhateverStandsStill)
+// It holds because the age is measured after the request arrived, and the
+// requester counts it back from when it sent the request.
+TEST(RelayedProofTest, NeverAcceptsARevokedKeyTooLongInRandomSchedules)
 {
   std::mt19937_64 random(7);
-  int honoured = 0;
+  int accepted = 0;
   for (int round = 0; round < 20'000; ++round) {
-    const KeyUse use = PassOnAProof(random, true);
-    honoured += use.honoured_ ? 1 : 0;
+    const KeyUse use = RelayProof(random, true);
+    accepted += use.accepted_ ? 1 : 0;
     CHECK_FALSE(use.tooLate_);
   }
-  CHECK_TRUE(honoured > 1'000); // the check is not empty
+  CHECK_TRUE(accepted > 1'000); // the schedules do accept keys
 }
 
-// With the guard taken out the schedules above do find the fault.
-TEST(RelayedProofTest, WouldHonourKeysTooLongIfAgesWereCountedFromTheAnswer)
+// Verifies that the schedules above detect the error of counting a proof's age
+// from the arrival of the response.
+TEST(RelayedProofTest, DetectsProofsCountedFromTheResponse)
 {
   std::mt19937_64 random(7);
   int tooLate = 0;
   for (int round = 0; round < 20'000; ++round) {
-    tooLate += PassOnAProof(random, false).tooLate_ ? 1 : 0;
+    tooLate += RelayProof(random, false).tooLate_ ? 1 : 0;
   }
   CHECK_TRUE(tooLate > 0);
 }
--- a/test/core/gooseberrylift-zone-sums-test.cc
+++ b/test/core/gooseberrylift-zone-sums-test.cc
@@ -19,13 +19,13 @@
   return { .id_ = aId, .running_ = aRunning };
 }
 
-LoadWord ZoneWord(const std::string& aHost, LoadWordPart aPart)
+LoadWord ZoneMessage(const std::string& aHost, LoadWordPart aKind)
 {
-  return { .host_ = aHost, .part_ = aPart, .zone_ = "there" };
+  return { .host_ = aHost, .part_ = aKind, .zone_ = "there" };
 }
 
-// Two hosts of one zone, the first by rank first.
-std::pair<std::string, std::string> TwoHosts()
+// Returns two hosts of one zone in the order of their rank.
+std::pair<std::string, std::string> TwoHostsByRank()
 {
   return RanksBefore("one", "two") ? std::pair("one", "two")
                                    : std::pair("two", "one");
@@ -33,137 +33,137 @@
 
 } // namespace
 
-TEST_GROUP(ZoneSummerTest)
+TEST_GROUP(ZoneLoadAggregatorTest)
 {
-  ZoneSummer summer_{ ZoneSummer::Options{} };
+  ZoneSummer aggregator_{ ZoneSummer::Options{} };
   TimePoint now_{ 1000s };
 };
 
-TEST(ZoneSummerTest, BeginsWithAllThatTheZoneHasInWork)
+TEST(ZoneLoadAggregatorTest, StartsWithASnapshot)
 {
-  const auto word = summer_.Next({ Share("a", 1), Share("b", 2) }, now_);
-  CHECK_TRUE(word->part_ == LoadWordPart::kFirst);
-  LONGS_EQUAL(2, word->shares_.size());
+  const auto message = aggregator_.Next({ Share("a", 1), Share("b", 2) }, now_);
+  CHECK_TRUE(message->part_ == LoadWordPart::kFirst);
+  LONGS_EQUAL(2, message->shares_.size());
 }
 
-TEST(ZoneSummerTest, TellsAChangeOnce)
+TEST(ZoneLoadAggregatorTest, SendsAChangeOnce)
 {
-  summer_.Next({ Share("a", 1), Share("b", 2) }, now_);
-  const std::vector<EndpointShare> changed = { Share("a", 1), Share("b", 3) };
-  const auto word = summer_.Next(changed, now_ + 100ms);
-  LONGS_EQUAL(1, word->shares_.size());
-  STRCMP_EQUAL("b", word->shares_.front().id_.c_str());
-  CHECK_FALSE(summer_.Next(changed, now_ + 200ms).has_value());
+  aggregator_.Next({ Share("a", 1), Share("b", 2) }, now_);
+  const std::vector<EndpointShare> updated = { Share("a", 1), Share("b", 3) };
+  const auto message = aggregator_.Next(updated, now_ + 100ms);
+  LONGS_EQUAL(1, message->shares_.size());
+  STRCMP_EQUAL("b", message->shares_.front().id_.c_str());
+  CHECK_FALSE(aggregator_.Next(updated, now_ + 200ms).has_value());
 }
 
-TEST(ZoneSummerTest, TellsThatNothingIsLeftAtAnEndpoint)
+TEST(ZoneLoadAggregatorTest, ReportsAnEndpointWithoutLoad)
 {
-  summer_.Next({ Share("a", 1) }, now_);
-  const auto word = summer_.Next({}, now_ + 50ms);
-  LONGS_EQUAL(1, word->shares_.size());
-  LONGS_EQUAL(0, word->shares_.front().running_);
+  aggregator_.Next({ Share("a", 1) }, now_);
+  const auto message = aggregator_.Next({}, now_ + 50ms);
+  LONGS_EQUAL(1, message->shares_.size());
+  LONGS_EQUAL(0, message->shares_.front().running_);
 }
 
-TEST(ZoneSummerTest, SaysNowAndThenThatItLives)
+TEST(ZoneLoadAggregatorTest, SendsHeartbeats)
 {
-  summer_.Next({ Share("a", 1) }, now_);
-  CHECK_FALSE(summer_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
-  const auto word = summer_.Next({ Share("a", 1) }, now_ + 300ms);
-  CHECK_TRUE(word.has_value() && word->shares_.empty());
+  aggregator_.Next({ Share("a", 1) }, now_);
+  CHECK_FALSE(aggregator_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
+  const auto message = aggregator_.Next({ Share("a", 1) }, now_ + 300ms);
+  CHECK_TRUE(message.has_value() && message->shares_.empty());
 }
 
-// Callers must not be taken from an engine that works: others count its silence
-// on from the last word.
-TEST(ZoneSummerTest, TellsSignsOfLifeBeforeOthersTakeAnEngineForHung)
+// Receivers extrapolate an engine's silence from the last message. Without a
+// report of activity they would move requests away from a working engine.
+TEST(ZoneLoadAggregatorTest, ReportsActivityBeforeReceiversTreatAnEngineAsHung)
 {
-  summer_.Next({ Share("a", 1) }, now_);
-  CHECK_FALSE(summer_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
-  const auto word = summer_.Next({ Share("a", 1) }, now_ + 550ms);
-  LONGS_EQUAL(1, word->shares_.size());
+  aggregator_.Next({ Share("a", 1) }, now_);
+  CHECK_FALSE(aggregator_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
+  const auto message = aggregator_.Next({ Share("a", 1) }, now_ + 550ms);
+  LONGS_EQUAL(1, message->shares_.size());
 }
 
-TEST(ZoneSummerTest, TellsABacklogThatDoesNotShrinkAsTimePasses)
+TEST(ZoneLoadAggregatorTest, ReportsABacklogThatDoesNotShrinkAsExpected)
 {
   EndpointShare share = Share("a", 1);
   share.backlog_ = 1s;
-  summer_.Next({ share }, now_);
+  aggregator_.Next({ share }, now_);
   share.backlog_ = 900ms;
-  CHECK_FALSE(summer_.Next({ share }, now_ + 100ms).has_value());
-  const auto word = summer_.Next({ share }, now_ + 240ms);
-  LONGS_EQUAL(1, word->shares_.size());
+  CHECK_FALSE(aggregator_.Next({ share }, now_ + 100ms).has_value());
+  const auto message = aggregator_.Next({ share }, now_ + 240ms);
+  LONGS_EQUAL(1, message->shares_.size());
 }
 
-// What hosts of other zones know must come to what is true, though datagrams
-// are lost: one in five here, at random. Why it does: all
-// of it is told each second.
-TEST(ZoneSummerTest, BringsOthersToTheTruthThroughLostDatagrams)
+// Receivers in other zones must converge to the actual load although one in
+// five datagrams is lost at random. They do because a snapshot is sent each
+// second.
+TEST(ZoneLoadAggregatorTest, ConvergesDespiteLostDatagrams)
 {
   std::mt19937 random(1);
-  std::map<std::string, int> truth;
-  std::map<std::string, int> heard;
+  std::map<std::string, int> actual;
+  std::map<std::string, int> received;
   for (int step = 0; step < 2'000; ++step) {
     now_ += 100ms;
     if (step < 1'950) {
-      truth["engine-" + std::to_string(random() % 40)] =
+      actual["engine-" + std::to_string(random() % 40)] =
         static_cast<int>(random() % 10);
     }
-    std::vector<EndpointShare> sums;
-    for (const auto& [id, running] : truth) {
+    std::vector<EndpointShare> totals;
+    for (const auto& [id, running] : actual) {
       if (running > 0) {
-        sums.push_back(Share(id, running));
+        totals.push_back(Share(id, running));
       }
     }
-    const auto word = summer_.Next(sums, now_);
-    if (!word || random() % 5 == 0) {
+    const auto message = aggregator_.Next(totals, now_);
+    if (!message || random() % 5 == 0) {
       continue;
     }
-    if (word->part_ == LoadWordPart::kFirst) {
-      heard.clear();
+    if (message->part_ == LoadWordPart::kFirst) {
+      received.clear();
     }
-    for (const EndpointShare& share : word->shares_) {
-      heard[share.id_] = share.running_;
+    for (const EndpointShare& share : message->shares_) {
+      received[share.id_] = share.running_;
     }
   }
-  for (const auto& [id, running] : truth) {
-    LONGS_EQUAL(running, heard[id]);
+  for (const auto& [id, running] : actual) {
+    LONGS_EQUAL(running, received[id]);
   }
 }
 
-TEST_GROUP(ZoneTurnTest)
+TEST_GROUP(ZoneAggregatorRoleTest)
 {
-  ZoneTurn turn_{ ZoneTurn::Options{} };
+  ZoneTurn role_{ ZoneTurn::Options{} };
   TimePoint now_{ 1000s };
 };
 
-TEST(ZoneTurnTest, GivesItToTheFirstAndToTheNextWhenThatOneIsSilent)
+TEST(ZoneAggregatorRoleTest, PassesToTheNextRankAfterSilence)
 {
-  turn_.OnHeard(now_);
-  CHECK_TRUE(turn_.IsOwn(now_, 0));
-  CHECK_FALSE(turn_.IsOwn(now_ + 550ms, 1));
-  CHECK_TRUE(turn_.IsOwn(now_ + 650ms, 1));
-  CHECK_FALSE(turn_.IsOwn(now_ + 650ms, 2));
-  CHECK_TRUE(turn_.IsOwn(now_ + 1'250ms, 2));
-  CHECK_FALSE(turn_.IsOwn(now_ + 60s, 3));
+  role_.OnHeard(now_);
+  CHECK_TRUE(role_.IsOwn(now_, 0));
+  CHECK_FALSE(role_.IsOwn(now_ + 550ms, 1));
+  CHECK_TRUE(role_.IsOwn(now_ + 650ms, 1));
+  CHECK_FALSE(role_.IsOwn(now_ + 650ms, 2));
+  CHECK_TRUE(role_.IsOwn(now_ + 1'250ms, 2));
+  CHECK_FALSE(role_.IsOwn(now_ + 60s, 3));
 }
 
-TEST_GROUP(ZoneSourcesTest)
+TEST_GROUP(ZoneMessageFilterTest)
 {
-  ZoneSources sources_{ ZoneSources::Options{} };
+  ZoneSources filter_{ ZoneSources::Options{} };
   TimePoint now_{ 1000s };
 };
 
-// Callers would be kept from idle engines if a zone's work counted twice. The
-// order: two hosts of a zone sum it up, the second by rank first, and then the
+// If a zone's load counted twice, idle engines would appear full. Two hosts of
+// a zone act as aggregator, the second by rank starting first, and then the
 // first one falls silent.
-TEST(ZoneSourcesTest, CountsOneHostOfAZoneAtATime)
+TEST(ZoneMessageFilterTest, AcceptsOneAggregatorPerZone)
 {
-  const auto [first, second] = TwoHosts();
-  const auto whole = LoadWordPart::kFirst;
-  const auto change = LoadWordPart::kChange;
-  CHECK_FALSE(sources_.Accepts(ZoneWord(second, change), now_));
-  CHECK_TRUE(sources_.Accepts(ZoneWord(second, whole), now_));
-  CHECK_TRUE(sources_.Accepts(ZoneWord(first, whole), now_ + 10ms));
-  CHECK_FALSE(sources_.Accepts(ZoneWord(second, whole), now_ + 20ms));
-  CHECK_FALSE(sources_.Accepts(ZoneWord(second, change), now_ + 700ms));
-  CHECK_TRUE(sources_.Accepts(ZoneWord(second, whole), now_ + 700ms));
+  const auto [first, second] = TwoHostsByRank();
+  const auto snapshot = LoadWordPart::kFirst;
+  const auto delta = LoadWordPart::kChange;
+  CHECK_FALSE(filter_.Accepts(ZoneMessage(second, delta), now_));
+  CHECK_TRUE(filter_.Accepts(ZoneMessage(second, snapshot), now_));
+  CHECK_TRUE(filter_.Accepts(ZoneMessage(first, snapshot), now_ + 10ms));
+  CHECK_FALSE(filter_.Accepts(ZoneMessage(second, snapshot), now_ + 20ms));
+  CHECK_FALSE(filter_.Accepts(ZoneMessage(second, delta), now_ + 700ms));
+  CHECK_TRUE(filter_.Accepts(ZoneMessage(second, snapshot), now_ + 700ms));
 }
