--- a/include/gooseberrylift/gooseberrylift-admission.h
+++ b/include/gooseberrylift/gooseberrylift-admission.h
@@ -1,7 +1,7 @@
-// Decides whether a request may wait. The load pattern it answers: overload,
-// where the queue grows without end. Without it each request waits, most miss
-// their deadlines after the fleet has worked for them, and callers learn it at
-// the last moment.
+// Admission control: decides whether a request may be queued. Without it the
+// queue grows without bound under overload, most requests miss their deadlines
+// after engines have already worked on them, and callers learn of it only at
+// the deadline.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_H_
@@ -16,87 +16,90 @@
 
 namespace gooseberrylift {
 
-// Learns how fast the waiting work of one team and class drains, in engine
-// time a second.
+// Estimates how fast the queued work of one team and service class drains, in
+// engine seconds per second.
 class DrainRate
 {
 public:
-  /// Notes engine time that was served after a wait.
+  /// Records engine time of a request that was dispatched after waiting.
   void OnServed(std::chrono::microseconds aCost, TimePoint aNow);
 
-  /// Notes whether work waits; the rate is learnt only while some does.
+  /// Records whether work is queued. The rate is measured only while it is.
   void OnWaiting(bool aWaiting, TimePoint aNow);
 
-  /// Gives the rate, which moves from the prior to what was seen.
+  /// Returns the rate, which moves from the prior to the measured value.
   double Rate(double aPrior) const;
 
+  /// Returns whether the entry has been idle long enough to be discarded.
   bool IsStale(TimePoint aNow) const;
 
 private:
-  void Forget(TimePoint aNow);
+  void Decay(TimePoint aNow);
 
-  double served_ = 0; // engine seconds, while work waited
-  double busy_ = 0;   // seconds in which work waited
-  bool waiting_ = false;
-  TimePoint last_{};
+  double servedSeconds_ = 0;  // engine seconds, while work was queued
+  double waitingSeconds_ = 0; // seconds in which work was queued
+  bool hasWaiting_ = false;
+  TimePoint lastUpdate_{};
 };
 
-// Predicts waits for one class of a queue. The rate is learnt for each team,
-// so that what more urgent classes and other teams will take in the meantime is
-// in it: with one rate for the queue the predicted wait left out all that came
-// later and went first, and admitted requests missed their deadline in an
-// overload. Not thread-safe.
-class Admission
+// Predicts queueing delays for one service class of a queue. The drain rate is
+// measured per team, so that it accounts for engine time taken by more urgent
+// classes and other teams. A single rate for the whole queue ignored requests
+// that arrived later but were served first, and admitted requests missed their
+// deadlines under overload. Not thread-safe.
+class AdmissionController
 {
 public:
   struct Options
   {
-    // Of the predicted wait. With less, admitted requests miss their deadline
-    // in an overload; with more, a burst has more refusals than it needs.
-    double margin_ = 2.0;
-    std::uint64_t seed_ = 1; // of the spread of Retry-After
+    // Factor on the predicted wait. A lower value lets admitted requests miss
+    // their deadlines under overload; a higher one refuses more requests of a
+    // burst than necessary.
+    double waitMargin_ = 2.0;
+    std::uint64_t seed_ = 1; // of the Retry-After jitter
   };
 
-  explicit Admission(Options aOptions);
+  explicit AdmissionController(Options aOptions);
 
-  /// Sets the rate of the whole queue assumed before anything is learnt.
+  /// Sets the drain rate of the whole queue to assume before any measurement.
   void SetPriorRate(double aRate) { prior_ = aRate; }
 
-  /// Gives the drain of a team, to be told of its work.
-  DrainRate& DrainOf(const std::string& aTeam, TimePoint aNow);
+  /// Returns the drain rate of a team, which the caller updates.
+  DrainRate& DrainRateOf(const std::string& aTeam, TimePoint aNow);
 
-  /// Predicts how long a team's work takes to drain.
+  /// Predicts how long a team's queued work takes to drain.
   /// @param aTeam the team
-  /// @param aWork its waiting work, in engine time
-  /// @param aShare the team's share of the queue by weight
-  std::chrono::microseconds WaitFor(const std::string& aTeam,
-                                    std::chrono::microseconds aWork,
-                                    double aShare) const;
-
-  /// Notes what a request met at its engine beyond its own prefill.
+  /// @param aQueuedCost its queued work, in engine time
+  /// @param aShare the team's weighted share of the queue
+  std::chrono::microseconds PredictDrainTime(
+    const std::string& aTeam,
+    std::chrono::microseconds aQueuedCost,
+    double aShare) const;
+
+  /// Records the time a request spent at its engine beyond its own prefill.
   void OnEngineWait(std::chrono::microseconds aWait);
 
-  /// Gives the usual wait at the engine.
+  /// Returns the moving average of the wait at the engine.
   std::chrono::microseconds EngineWait() const;
 
-  /// Says whether a request that waits so long and then takes so long is done
-  /// by its deadline.
-  bool Fits(std::chrono::microseconds aWait,
-            std::chrono::microseconds aService,
-            TimePoint aDeadline,
-            TimePoint aNow) const;
+  /// Returns whether a request with the given wait and service time, including
+  /// safety margins, finishes by its deadline.
+  bool MeetsDeadline(std::chrono::microseconds aWait,
+                     std::chrono::microseconds aService,
+                     TimePoint aDeadline,
+                     TimePoint aNow) const;
 
-  /// Gives a time to come back, spread over twice the wait, so that those who
-  /// were refused together do not return together.
+  /// Returns a Retry-After time, chosen at random between once and twice the
+  /// bounded wait, so that callers refused together do not retry together.
   std::chrono::milliseconds RetryAfter(std::chrono::microseconds aWait);
 
 private:
   Options options_;
   std::minstd_rand random_;
-  double prior_ = 1; // engine seconds a second
-  double engineWaitUs_ = 0;
-  std::unordered_map<std::string, DrainRate> drains_;
-  std::size_t sweepAt_;
+  double prior_ = 1; // engine seconds per second
+  double meanEngineWaitUs_ = 0;
+  std::unordered_map<std::string, DrainRate> drainRates_;
+  std::size_t sweepThreshold_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-attempts.h
+++ b/include/gooseberrylift/gooseberrylift-attempts.h
@@ -1,5 +1,5 @@
-// What the attempts of one request come to, whether it goes to an engine or to
-// a plain service.
+// Combines the errors of the attempts of one request, for both engines and
+// plain services.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPTS_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPTS_H_
@@ -8,29 +8,31 @@
 
 namespace gooseberrylift {
 
-// Gathers the errors of a request's attempts into the one that its caller gets:
+// Reduces the errors of a request's attempts to the one returned to its caller:
 //
-//   attempts.OnFailed(error);    // an endpoint failed it
-//   attempts.OnRefused(refusal); // no further endpoint is to be had
+//   attempts.OnFailed(error);    // an attempt at an endpoint failed
+//   attempts.OnRefused(refusal); // the scheduler found no other endpoint
 //   co_return attempts.Final();
 class Attempts
 {
 public:
-  /// Takes in the scheduler's refusal to place another attempt. With endpoints
-  /// tried in vain, their failure says more to the caller than "none left".
+  /// Records the scheduler's refusal to place another attempt. After a failed
+  /// attempt, kNoEndpoint does not replace that attempt's error, which tells
+  /// the caller more.
   void OnRefused(const Error& aRefusal);
 
-  /// Takes in what became of an attempt at an endpoint.
+  /// Records a failed attempt at an endpoint.
   void OnFailed(const Error& aError);
 
-  /// Gives the last error. Once a byte was given to an endpoint, "not run" is
-  /// never true any more, whatever the last attempt said.
+  /// Returns the last error. Once an endpoint may have received part of the
+  /// request, the result is never RanState::kNo, whatever the last attempt
+  /// reported.
   Error Final() const;
 
 private:
   Error last_{ .code_ = ResultCode::kNoEndpoint };
   RanState ran_ = RanState::kNo;
-  bool tried_ = false;
+  bool anyFailed_ = false;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-cost-model.h
+++ b/include/gooseberrylift/gooseberrylift-cost-model.h
@@ -1,8 +1,7 @@
-// Predicts what a prompt costs an engine. The load pattern it answers: prompts
-// from a thousand to a million tokens on the same engines, where the time of
-// one differs from another's by a factor of two thousand. Without it a request
-// counts as one, so the endpoint with the fewest requests may be the one with
-// a million tokens before it.
+// Predicts the engine time of a prompt. Prompts on the same engines range from
+// a thousand to a million tokens, and their times differ by a factor of two
+// thousand. Counting requests instead would rate an endpoint with few requests
+// as idle even when one of them has a million tokens.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_COST_MODEL_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_COST_MODEL_H_
@@ -13,42 +12,44 @@
 
 namespace gooseberrylift {
 
-// Prefill takes a*n + b*n^2, fitted by recursive least squares to observed
-// times; decoding takes a learnt time a token. Not thread-safe.
+// Models prefill time as a*n + b*n^2, fitted to observed times by recursive
+// least squares, and decode time as a moving average per token. Not
+// thread-safe.
 class CostModel
 {
 public:
   struct Options
   {
-    // Where the fit starts: the order of magnitude of one accelerator with a
-    // model of some ten billion parameters. A hundred observations replace it.
-    double linearUs_ = 3.0;
-    double quadraticUs_ = 1.0e-6;
-    std::chrono::microseconds perToken_{ 15'000 };
-    // An old observation keeps 0.99 of its weight with each new one, so that
-    // the fit follows a change of model within some hundred requests.
-    double forgetting_ = 0.99;
+    // Initial coefficients: the order of magnitude of one accelerator with a
+    // model of about ten billion parameters. About a hundred observations
+    // override them.
+    double linearUsPerToken_ = 3.0;
+    double quadraticUsPerTokenSquared_ = 1.0e-6;
+    std::chrono::microseconds decodePerToken_{ 15'000 };
+    // Each new observation scales the weight of older ones by 0.99, so that the
+    // fit adapts to a change of model within a few hundred requests.
+    double forgettingFactor_ = 0.99;
   };
 
   explicit CostModel(Options aOptions);
 
-  /// Predicts the time to read in a prompt on an engine that does nothing else.
+  /// Predicts the prefill time of a prompt on an otherwise idle engine.
   std::chrono::microseconds Prefill(std::uint64_t aTokens) const;
 
   /// Predicts the time to generate tokens after the first.
   std::chrono::microseconds Decode(std::uint64_t aTokens) const;
 
-  /// Learns from a prompt that an engine read in without other work before it.
-  void OnPrefill(std::uint64_t aTokens, std::chrono::microseconds aTook);
+  /// Updates the model with the prefill time of a prompt on an idle engine.
+  void OnPrefill(std::uint64_t aTokens, std::chrono::microseconds aDuration);
 
-  /// Learns from the time between the first and the last token.
-  void OnDecode(std::uint64_t aTokens, std::chrono::microseconds aTook);
+  /// Updates the model with the time between the first and the last token.
+  void OnDecode(std::uint64_t aTokens, std::chrono::microseconds aDuration);
 
 private:
   Options options_;
-  std::array<double, 2> factors_; // per Features: ms per 10k tokens, squared
+  std::array<double, 2> coefficients_; // ms per 10k tokens, and per its square
   std::array<std::array<double, 2>, 2> covariance_;
-  double perTokenUs_;
+  double decodeUsPerToken_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-endpoint-book.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint-book.h
@@ -1,5 +1,6 @@
-// Joins what is heard of the endpoints: the platform's lagging list, the
-// endpoints' own load reports, and failures met while using them.
+// Merges the sources of endpoint state: the platform's list, which lags, the
+// endpoints' own load reports, peers' digests, and failures of requests and
+// polls.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_BOOK_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_BOOK_H_
@@ -16,15 +17,15 @@
 
 namespace gooseberrylift {
 
-// What an endpoint said of itself.
+// State that an endpoint reports about itself.
 struct EndpointReport
 {
   bool leaving_ = false;
-  std::uint64_t incarnation_ = 0; // 0 when it gave none
+  std::uint64_t incarnation_ = 0; // 0 if not reported
   LoadReport load_{};
 };
 
-// Not thread-safe; one owner feeds it events that carry the time.
+// Tracks the state of each endpoint from timestamped events. Not thread-safe.
 //
 //   EndpointBook book({});
 //   book.OnList(listed, now);
@@ -35,43 +36,45 @@
 public:
   struct Options
   {
-    // One missed report is a lost packet; the endpoint is dead when this many
-    // in a row fail, which at the usual poll of 250 ms takes 0.75 s.
+    // Consecutive failures after which an endpoint counts as dead. A single
+    // missed report may be a lost packet; three take 0.75 s at the default poll
+    // interval of 250 ms.
     int failuresUntilDead_ = 3;
-    // How long an endpoint that the list no longer shows is kept while it
-    // still answers. Longer than the list's lag and faults of a minute.
-    std::chrono::milliseconds keepUnlisted_{ 120'000 };
+    // How long to keep an endpoint that is missing from the list but still
+    // answers. Exceeds the lag of the list and list faults of up to a minute.
+    std::chrono::milliseconds unlistedRetention_{ 120'000 };
   };
 
   explicit EndpointBook(Options aOptions);
 
-  /// Takes in the platform's list. An endpoint that it no longer shows is
-  /// dropped once it fails to answer too: a list that came empty or cut short
-  /// must not take away endpoints that serve.
+  /// Applies the platform's list. An endpoint missing from it is removed only
+  /// when it also stops answering or has been missing for unlistedRetention_,
+  /// so that an empty or truncated list does not remove endpoints that still
+  /// serve.
   /// @param aListed the endpoints as listed
   /// @param aNow the current time
-  /// @return true when a view changed
+  /// @return true if the endpoint set or the state of an endpoint changed
   bool OnList(const std::vector<EndpointView>& aListed, TimePoint aNow);
 
-  /// Takes in an endpoint's own word, which goes before the list.
+  /// Applies an endpoint's own report, which takes precedence over the list.
   bool OnReport(const std::string& aName,
                 const EndpointReport& aReport,
                 TimePoint aNow);
 
-  /// Notes that an endpoint gave no report or refused a connection.
+  /// Records that an endpoint missed a report or refused a connection.
   bool OnFailure(const std::string& aName, TimePoint aNow);
 
-  /// Notes that an endpoint refused work because it is leaving.
+  /// Records that an endpoint refused a request because it is leaving.
   bool OnLeaving(const std::string& aName, TimePoint aNow);
 
-  /// Takes in a peer's word. Leaving is believed at once, for the incarnation
-  /// that it is said of: an endpoint never comes back from it, so a late word
-  /// does no harm. Dead is only a doubt, because the peer itself may be cut
-  /// off: it counts as one failure more, so that this host's own next failure
-  /// decides sooner, and its own next success clears it.
-  bool OnPeerWord(const EndpointDigest& aWord, TimePoint aNow);
+  /// Applies a peer's digest of an endpoint. kLeaving is accepted immediately
+  /// for the same incarnation, because it is final and a delayed digest is
+  /// harmless. kDead counts only as one additional failure, because the peer
+  /// itself may be partitioned; the next report received by this host clears
+  /// it.
+  bool OnPeerWord(const EndpointDigest& aDigest, TimePoint aNow);
 
-  /// Gives all endpoints in order of their names.
+  /// Returns all endpoints, sorted by name.
   std::vector<EndpointView> Views() const;
 
 private:
@@ -79,13 +82,13 @@
   {
     EndpointView view_;
     bool listedLeaving_ = false;
-    bool saidLeaving_ = false; // sticky for this incarnation
-    int failures_ = 0;         // in a row, this host's own
-    bool doubted_ = false;     // by a peer, since our last success
-    TimePoint listed_{};
+    bool reportedLeaving_ = false; // permanent for this incarnation
+    int failures_ = 0;             // consecutive, observed by this host
+    bool suspectedByPeer_ = false; // since this host's last success
+    TimePoint lastListed_{};
   };
 
-  bool Refresh(Entry& aEntry) const;
+  bool UpdateState(Entry& aEntry) const;
   std::size_t DropUnlisted(TimePoint aNow);
 
   Options options_;
--- a/include/gooseberrylift/gooseberrylift-endpoint-health.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint-health.h
@@ -1,7 +1,8 @@
-// Judges endpoints by how they serve. The load patterns it answers: an engine
-// that turns slow, one that accepts and never answers, one that comes back
-// empty. Without it the slow one gets its full share, each request to it waits
-// several times as long as elsewhere, and one just returned is flooded.
+// Outlier ejection and slow start for endpoints: handles an engine that becomes
+// slow, one that accepts requests and never answers, and one that restarts
+// empty. Without it a slow engine keeps its full share, so its requests take
+// several times as long as elsewhere, and a restarted one, which looks idle, is
+// flooded.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_HEALTH_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_HEALTH_H_
@@ -13,70 +14,75 @@
 
 namespace gooseberrylift {
 
-// The pool's usual ratio of observed to predicted time to first token, which
-// endpoints are compared with. Load slows all alike and so ejects none.
-class PoolPace
+// Moving average over a pool of the ratio of observed to predicted time to
+// first token. Endpoints are compared with it, so that load that slows the
+// whole pool ejects none of them.
+class PoolLatencyRatio
 {
 public:
   void OnRatio(double aRatio);
-  double Usual() const { return usual_; }
+  double Average() const { return average_; }
 
 private:
-  double usual_ = 1.0;
+  double average_ = 1.0;
 };
 
-// The record of one endpoint. Not thread-safe.
+// Health of one endpoint. Not thread-safe.
 class EndpointHealth
 {
 public:
   struct Options
   {
-    // Three times the pool's pace over at least five answers: under load the
-    // ratio of a sound engine varies by a factor of two.
+    // An endpoint is slow at three times the pool's average ratio over at least
+    // five responses. Under load the ratio of a healthy engine varies by a
+    // factor of two.
     double slowFactor_ = 3.0;
-    int leastAnswers_ = 5;
-    // Two faults in a row: one may be the request's own doing.
+    int minResponses_ = 5;
+    // Consecutive faults; a single one may be caused by the request itself.
     int faultsUntilEjected_ = 2;
     std::chrono::milliseconds firstEjection_{ 2000 };
     std::chrono::milliseconds longestEjection_{ 60'000 };
-    // Ten seconds from one request at a time to a full share: some forty load
-    // reports, so a relapse is seen while little depends on it.
-    std::chrono::milliseconds slowStart_{ 10'000 };
+    // Time to ramp up to the full share. Ten seconds span about forty load
+    // reports, so a relapse shows while the endpoint has little traffic.
+    std::chrono::milliseconds slowStartDuration_{ 10'000 };
   };
 
   explicit EndpointHealth(Options aOptions);
 
-  /// Takes in a first token.
-  /// @param aRatio the observed time over the predicted
-  void OnFirstToken(double aRatio, const PoolPace& aPace, TimePoint aNow);
+  /// Records a first token.
+  /// @param aRatio the ratio of observed to predicted time to first token
+  void OnFirstToken(double aRatio,
+                    const PoolLatencyRatio& aPoolRatio,
+                    TimePoint aNow);
 
-  /// Takes in an attempt that failed by the endpoint's fault.
+  /// Records an attempt that failed through the endpoint's fault.
   void OnFault(TimePoint aNow);
 
-  /// Begins a slow start, because the endpoint is new or came back.
-  void OnReturned(TimePoint aNow);
+  /// Starts the ramp-up of an endpoint that restarted, answers again or
+  /// comes back from an ejection.
+  void BeginSlowStart(TimePoint aNow);
 
-  /// Says whether the endpoint should get no work now.
-  bool WantsEjection(TimePoint aNow) const { return aNow < ejectedUntil_; }
+  /// Returns whether the endpoint should receive no requests at present.
+  bool ShouldEject(TimePoint aNow) const { return aNow < ejectedUntil_; }
 
-  /// Gives the share of work it may have, from 0.1 in the first moment after
-  /// its return to 1.
-  double Share(TimePoint aNow) const;
+  /// Returns the share of normal traffic that it should receive, which rises
+  /// from 0.1 to 1 during slow start.
+  double TrafficShare(TimePoint aNow) const;
 
-  /// Gives how much slower than predicted it is; at least 1.
-  double Slowness() const;
+  /// Returns how much slower than predicted the endpoint is; at least 1.
+  double SlowdownFactor() const;
 
 private:
   void Eject(TimePoint aNow);
 
   Options options_;
   double ratio_ = 1.0;
-  int answers_ = 0;
-  int faults_ = 0;
-  int ejections_ = 0; // in a row
+  int responses_ = 0;
+  int consecutiveFaults_ = 0;
+  int consecutiveEjections_ = 0; // doubles the ejection time
   TimePoint ejectedUntil_{};
-  TimePoint startedAt_{};
-  bool starting_ = false;
+  TimePoint slowStartBegin_{};
+  bool inSlowStart_ = false;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-endpoint-slot.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint-slot.h
@@ -1,5 +1,5 @@
-// What a scheduler keeps of one endpoint: the last report, and what this host
-// itself has sent since, which the report can't show yet.
+// Scheduler state of one endpoint: its last load report, and the requests this
+// host has sent since, which the report does not include yet.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_SLOT_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_SLOT_H_
@@ -15,9 +15,9 @@
 
 namespace gooseberrylift {
 
-// The load pattern it answers: load reports that are up to seconds old. Without
-// the correction each host sees the same idle endpoint until the next report
-// and all send to it at once, then all turn to the next (herding).
+// Corrects load reports, which may be seconds old, by the requests sent since.
+// Without the correction all hosts send to the same apparently idle endpoint
+// until the next report and then all switch to another (herding).
 class EndpointSlot
 {
 public:
@@ -27,37 +27,37 @@
   {
   }
 
-  /// Takes in what is now known of the endpoint.
+  /// Applies the current view of the endpoint.
   void Update(EndpointView aView, const CostModel& aModel, TimePoint aNow);
 
-  /// Notes that a request was sent.
+  /// Records that a request was sent.
   void OnSent(const RequestInfo& aInfo,
               std::chrono::microseconds aCost,
               TimePoint aNow);
 
-  /// Notes that the first token of a request came, or that it ended before.
-  void OnStarted(std::uint64_t aId, TimePoint aNow);
+  /// Records that a request received its first token or ended without one.
+  void OnPrefillDone(std::uint64_t aId, TimePoint aNow);
 
-  /// Notes that a request ended and holds no memory any more.
+  /// Records that a request ended and releases its memory.
   void OnEnded(const RequestInfo& aInfo);
 
-  /// Predicts how long a new request waits before its own prefill begins.
+  /// Predicts the delay before the prefill of a new request begins.
   std::chrono::microseconds Backlog(TimePoint aNow) const;
 
-  /// Says whether the engine's memory has room for a request.
+  /// Returns whether the engine's KV cache has room for a request.
   bool HasMemory(const RequestInfo& aInfo) const;
 
-  bool IsPlain() const { return view_.kind_ == EndpointKind::kService; }
+  bool IsPlainService() const { return view_.kind_ == EndpointKind::kService; }
 
   EndpointView view_;
   EndpointHealth health_;
-  ConcurrencyLimit limit_{ ConcurrencyLimit::Options{} }; // plain services
-  int outstanding_ = 0; // requests of this host
-  bool longLane_ = false;
+  ConcurrencyLimit limit_{ ConcurrencyLimit::Options{} }; // plain services only
+  int outstanding_ = 0; // requests sent by this host
+  bool inLongLane_ = false;
   bool ejected_ = false;
 
 private:
-  // A request of this host whose first token has not come.
+  // A request sent by this host that has no first token yet.
   struct Pending
   {
     std::uint64_t id_;
@@ -66,11 +66,11 @@
     TimePoint sent_;
   };
 
-  std::vector<Pending> pending_; // bounded by the endpoint's concurrency
+  std::vector<Pending> pending_; // bounded by the concurrency limit
   std::chrono::microseconds pendingCost_{ 0 };
-  TimePoint busyUntil_{};        // by this host's own requests
-  TimePoint othersUntil_{};      // by what other hosts sent
-  std::uint64_t memorySent_ = 0; // tokens, since the last report
+  TimePoint ownBusyUntil_{};                 // with requests of this host
+  TimePoint othersBusyUntil_{};              // with requests of other hosts
+  std::uint64_t unreportedMemoryTokens_ = 0; // tokens, since the last report
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-endpoint.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint.h
@@ -1,4 +1,4 @@
-// What this host knows of one endpoint, as plain data that decisions read.
+// Plain data types that describe an endpoint as seen by this host.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_H_
@@ -10,17 +10,18 @@
 
 namespace gooseberrylift {
 
-// Monotonic time. The runtime reads the clock; the core is handed the value.
+// Monotonic time. Only the runtime reads the clock; the core receives the
+// value.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-// When an endpoint started, by its own clock.
+// Start time of an endpoint, on the endpoint's own clock.
 using BirthTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-// One life of an endpoint, which may start again under the id that it had.
+// One run of an endpoint process; a restarted endpoint may reuse its id.
 struct Incarnation
 {
   std::string id_;
-  BirthTime born_{}; // the epoch where the platform states none
+  BirthTime born_{}; // the epoch if the platform reports none
 
   bool operator==(const Incarnation&) const = default;
   bool operator<(const Incarnation& aOther) const
@@ -29,18 +30,18 @@
   }
 };
 
-// What an answer says of the rate limit of the endpoint that gave it.
+// The endpoint's rate limit as stated in one of its responses.
 struct RateNotice
 {
   enum class Kind
   {
-    kNone,       // the endpoint has no limit
-    kNamed,      // it takes perSecond_ from all hosts together
-    kUnreadable, // proves nothing
+    kNone,       // the response states no limit
+    kNamed,      // perSecond_ is the limit for all hosts combined
+    kUnreadable, // present but malformed; the limit is unknown
   };
 
   Kind kind_ = Kind::kNone;
-  double perSecond_ = 0; // requests a second, not below 0
+  double perSecond_ = 0; // requests per second, not negative
 };
 
 enum class EndpointKind
@@ -56,10 +57,10 @@
   kDead
 };
 
-// The last load report of an engine, with the engine's own idea of when.
+// The most recent load report of an engine.
 struct LoadReport
 {
-  TimePoint at_{}; // when the engine took it, on this host's clock
+  TimePoint at_{}; // when the engine measured it, on this host's clock
   std::uint64_t waitingTokens_ = 0;
   int running_ = 0;
   int waiting_ = 0;
@@ -67,8 +68,8 @@
   std::uint64_t kvTokensTotal_ = 0; // 0 until the first report
 };
 
-// One endpoint. The name is unique for all time within the fleet's host list;
-// a restart of the same name shows as a new incarnation.
+// One endpoint. Names are never reused for another endpoint in the fleet's host
+// list; a restart under the same name gets a higher incarnation.
 struct EndpointView
 {
   std::string name_;
--- a/include/gooseberrylift/gooseberrylift-first-token-histogram.h
+++ b/include/gooseberrylift/gooseberrylift-first-token-histogram.h
@@ -1,5 +1,5 @@
-// Times to first token by service and prompt band, in a histogram that hosts
-// keep, send and merge without losing a count.
+// Histogram of the time to first token by service and prompt band. Hosts
+// exchange and merge histograms without loss.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_FIRST_TOKEN_HISTOGRAM_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_FIRST_TOKEN_HISTOGRAM_H_
@@ -14,17 +14,18 @@
 
 namespace gooseberrylift {
 
-// Bins grow by about a quarter from a millisecond to five minutes, so a
-// quantile is known within a quarter. Not thread-safe.
+// Bins range from one millisecond to five minutes, each about a quarter wider
+// than the previous, so quantiles are accurate to about a quarter. Not
+// thread-safe.
 class FirstTokenHistogram
 {
 public:
-  // One time bin of one series that has counts.
+  // One non-empty time bin of one series.
   struct Bin
   {
     std::string service_;
     std::size_t band_ = 0;
-    int bin_ = 0; // -1 is below the first bin, Bins() above the last
+    int bin_ = 0; // -1 is the underflow bin, Bins() the overflow bin
     std::uint64_t count_ = 0;
 
     bool operator==(const Bin&) const = default;
@@ -35,7 +36,7 @@
   FirstTokenHistogram(FirstTokenHistogram&&) noexcept;
   FirstTokenHistogram& operator=(FirstTokenHistogram&&) noexcept;
 
-  /// Counts one request.
+  /// Records the time to first token of one request.
   void Record(const std::string& aService,
               std::uint64_t aPromptTokens,
               std::chrono::microseconds aTime);
@@ -43,23 +44,23 @@
   /// Adds all counts of another histogram.
   void Merge(const FirstTokenHistogram& aOther);
 
-  /// Adds a bin as another host sent it; one with impossible indices is left
-  /// out, since it comes from outside.
+  /// Adds a bin received from another host. Bins with indices out of range are
+  /// ignored, because the input is not trusted.
   void Add(const Bin& aBin);
 
-  /// Gives all bins with counts, ordered by service, band and bin.
+  /// Returns all non-empty bins, sorted by service, band and bin.
   std::vector<Bin> Filled() const;
 
-  /// Gives the upper edge of the bin in which a quantile of a series lies.
-  /// @return nothing when the series is empty or the quantile is in the last
-  /// bin, which has no edge
+  /// Returns the upper edge of the bin that contains a quantile of a series.
+  /// @return nullopt if the series is empty or the quantile is in the overflow
+  /// bin, which has no upper edge
   std::optional<std::chrono::duration<double>>
   Quantile(const std::string& aService, std::size_t aBand, double aShare) const;
 
-  /// Gives the number of time bins, without those below and above.
+  /// Returns the number of time bins, without underflow and overflow.
   static int Bins();
 
-  /// Gives the upper edge of a bin; -1 is the one below the first.
+  /// Returns the upper edge of a bin; -1 is the underflow bin.
   static std::chrono::duration<double> UpperEdge(int aBin);
 
 private:
--- a/include/gooseberrylift/gooseberrylift-placement-strategy.h
+++ b/include/gooseberrylift/gooseberrylift-placement-strategy.h
@@ -1,6 +1,6 @@
-// Chooses the endpoint for one request. Strategies are small objects, chosen
-// by the pool's field "placement", so that the baselines run through the same
-// code as what is meant to beat them.
+// Strategies that choose the endpoint for a request. The pool's field
+// "placement" selects one, so that the baselines run through the same code as
+// the adaptive strategy that is compared with them.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_PLACEMENT_STRATEGY_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_PLACEMENT_STRATEGY_H_
@@ -17,48 +17,49 @@
 
 namespace gooseberrylift {
 
-// One request's view of the pool.
+// The request to place.
 struct PlacementQuery
 {
   const RequestInfo& info_;
-  std::chrono::microseconds cost_; // of its prefill
-  bool long_ = false;              // belongs to the lane of long prompts
+  std::chrono::microseconds cost_; // predicted prefill time
+  bool isLong_ = false;            // belongs to the lane for long prompts
   TimePoint now_;
 };
 
-// Says whether an endpoint may take the request at all.
-using Eligible = std::function<bool(const EndpointSlot& aSlot)>;
+// Returns whether an endpoint may take the request at all.
+using EligibilityFilter = std::function<bool(const EndpointSlot& aSlot)>;
 
+// Interface of the placement strategies.
 class PlacementStrategy
 {
 public:
   virtual ~PlacementStrategy() = default;
 
-  /// Chooses an endpoint that takes the request now.
-  /// @return null when the request should wait at this host
+  /// Chooses an endpoint to send the request to now.
+  /// @return null if the request should wait in the queue of this host
   virtual EndpointSlot* Choose(const PlacementQuery& aQuery,
                                std::span<EndpointSlot* const> aSlots,
-                               const Eligible& aEligible) = 0;
+                               const EligibilityFilter& aEligible) = 0;
 };
 
-// What the names stand for.
+// A value of the field "placement".
 struct PlacementKind
 {
   std::string_view name_;
-  std::string_view meaning_;
-  bool fair_; // with the fair queue, admission, lanes and health
+  std::string_view description_;
+  bool adaptive_; // uses the fair queue, admission, lanes, health
 };
 
-/// Lists the known names.
+/// Returns all known kinds.
 std::span<const PlacementKind> PlacementKinds();
 
-/// Finds a kind by name; null when it is unknown.
+/// Finds a kind by name; null if unknown.
 const PlacementKind* FindPlacement(std::string_view aName);
 
-/// Makes a strategy.
+/// Creates a strategy.
 /// @param aName one of PlacementKinds
 /// @param aZone this host's availability zone
-/// @param aSeed of the sampling
+/// @param aSeed the seed for sampling
 std::unique_ptr<PlacementStrategy> MakePlacement(std::string_view aName,
                                                  std::string aZone,
                                                  std::uint64_t aSeed);
--- a/include/gooseberrylift/gooseberrylift-prompt-band.h
+++ b/include/gooseberrylift/gooseberrylift-prompt-band.h
@@ -1,4 +1,5 @@
-// Prompts by length. Times to first token compare only within a band.
+// Classifies prompts by length. Times to first token are comparable only within
+// a band.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_PROMPT_BAND_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_PROMPT_BAND_H_
@@ -13,10 +14,10 @@
 struct PromptBand
 {
   const char* name_;
-  std::uint64_t upTo_; // tokens, inclusive
+  std::uint64_t maxTokens_; // tokens, inclusive
 };
 
-// The edges follow the lengths that objectives are stated for.
+// The bounds match the prompt lengths for which objectives are defined.
 inline constexpr std::array<PromptBand, 5> kPromptBands = { {
   { "le4k", 4'096 },
   { "le10k", 10'240 },
@@ -25,14 +26,14 @@
   { "over1M", UINT64_MAX },
 } };
 
-/// Gives the index in kPromptBands of a prompt's length in tokens.
+/// Returns the index in kPromptBands for a prompt length in tokens.
 constexpr std::size_t BandOf(std::uint64_t aPromptTokens)
 {
   return static_cast<std::size_t>(
     std::find_if(kPromptBands.begin(),
                  kPromptBands.end(),
                  [aPromptTokens](const PromptBand& aBand) {
-                   return aPromptTokens <= aBand.upTo_;
+                   return aPromptTokens <= aBand.maxTokens_;
                  }) -
     kPromptBands.begin());
 }
--- a/include/gooseberrylift/gooseberrylift-replay-guard.h
+++ b/include/gooseberrylift/gooseberrylift-replay-guard.h
@@ -1,4 +1,4 @@
-// Refuses a signed message that was recorded and is sent again.
+// Detects replay of signed messages.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_REPLAY_GUARD_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_REPLAY_GUARD_H_
@@ -10,10 +10,10 @@
 
 namespace gooseberrylift {
 
-// A message names when it was sent and a number used once. One older than the
-// window is refused by its time, a younger one by its number; so numbers need
-// only be kept for two windows, and memory is bounded by the rate of messages.
-// Hosts' clocks may differ by less than the window.
+// Each message carries its send time and a nonce. Messages older than the
+// window are rejected by their time, and replays within it by their nonce.
+// Nonces are therefore kept for two windows only, and memory is bounded by the
+// message rate. The clocks of hosts must differ by less than the window.
 //
 // Not thread-safe:
 //
@@ -31,17 +31,17 @@
 
   explicit ReplayGuard(Options aOptions);
 
-  /// Judges one message and remembers its number.
-  /// @return false when the message is old, from the future or seen before
+  /// Checks a message and stores its nonce.
+  /// @return false if the message is too old, from the future or a replay
   bool Accept(const std::string& aNonce, Time aSent, Time aNow);
 
-  /// Gives how many numbers are remembered.
-  std::size_t Size() const { return seen_.size(); }
+  /// Returns the number of stored nonces.
+  std::size_t Size() const { return nonces_.size(); }
 
 private:
   Options options_;
-  std::set<std::string> seen_;
-  std::multimap<Time, std::string> bySent_;
+  std::set<std::string> nonces_;
+  std::multimap<Time, std::string> noncesBySentTime_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-request-queue.h
+++ b/include/gooseberrylift/gooseberrylift-request-queue.h
@@ -1,7 +1,7 @@
-// Orders the requests that wait at this host. The load patterns it answers: a
-// burst, one team that asks for far more than its share, and overload. Without
-// it the first to come is the first served: one team's thousand requests stand
-// before another's single one, and room state waits behind season reviews.
+// Orders the requests that wait at this host, during bursts, under overload and
+// when one team sends far more than its share. In first-come, first-served
+// order a thousand requests of one team delay the single request of another,
+// and urgent room-state requests wait behind season reviews.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_REQUEST_QUEUE_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_REQUEST_QUEUE_H_
@@ -20,17 +20,17 @@
 
 namespace gooseberrylift {
 
-// A request that waits, with its predicted cost.
+// A queued request with its predicted cost.
 struct WaitingRequest
 {
   RequestInfo info_;
   std::chrono::microseconds cost_{ 0 }; // engine time to the first token
-  TimePoint latestStart_; // after this the deadline can't be met any more
+  TimePoint latestStart_;               // a later start misses the deadline
   TimePoint arrived_;
 };
 
-// Each operation costs the logarithm of the queue's length at most. Not
-// thread-safe; the scheduler owns one for each lane.
+// Queue of waiting requests. Every operation takes at most logarithmic time in
+// the length of the queue. Not thread-safe; the scheduler owns one per lane.
 class RequestQueue
 {
 public:
@@ -38,46 +38,48 @@
 
   virtual void Push(WaitingRequest aRequest) = 0;
 
-  /// Finds a waiting request; null when it does not wait.
+  /// Finds a request; null if it is not queued.
   virtual const WaitingRequest* Find(std::uint64_t aId) const = 0;
 
-  /// Gives the request to serve next; null when none waits.
+  /// Returns the request to dispatch next; null if the queue is empty.
   virtual const WaitingRequest* Next() const = 0;
 
-  /// Removes a request that was served, refused or withdrawn.
-  /// @param aServed whether its cost counts against its team and class
+  /// Removes a request that was dispatched, refused or cancelled.
+  /// @param aServed whether to charge its cost to its team and class
   virtual void Remove(std::uint64_t aId, bool aServed) = 0;
 
-  /// Gives the request whose latest start comes first; null when none waits.
-  virtual const WaitingRequest* MostPressing() const = 0;
+  /// Returns the request with the earliest latestStart_; null if empty.
+  virtual const WaitingRequest* NextToExpire() const = 0;
 
-  /// Gives the waiting cost of a request's own team and class.
-  virtual std::chrono::microseconds TeamWork(
+  /// Returns the total queued cost of the request's team and class.
+  virtual std::chrono::microseconds QueuedTeamCost(
     const RequestInfo& aInfo) const = 0;
 
-  /// Gives the share of its class that a request's team has by weight.
-  virtual double TeamShare(const RequestInfo& aInfo) const = 0;
+  /// Returns the weighted share of the request's team in its class.
+  virtual double TeamWeightShare(const RequestInfo& aInfo) const = 0;
 
   virtual std::size_t Size() const = 0;
 };
 
-/// Makes the baseline: first come first served.
+/// Creates the baseline queue: first come, first served.
 std::unique_ptr<RequestQueue> MakeFifoQueue();
 
-// How the fair queue shares.
+// Configuration of the fair queue.
 struct FairQueueOptions
 {
-  // What each class below the most urgent gets when all wait. A tenth keeps
-  // reviews moving while room state loses no more than a tenth of the engines
-  // in an overload, which its own deadline of seconds bears.
-  double floor_ = 0.1;
-  std::map<std::string, double> weights_; // of teams; 1 when missing
+  // Share of engine time guaranteed to each class below the most urgent waiting
+  // one. A tenth keeps reviews progressing under overload, while urgent
+  // room-state requests lose no more than a tenth of the engines, which their
+  // deadline of seconds tolerates.
+  double minClassShare_ = 0.1;
+  std::map<std::string, double> weights_; // per team; 1 if missing
 };
 
-/// Makes the fair queue: urgent first but for a floor for each class; in a
-/// class start-time fair queueing over teams in engine time (the fairness of
-/// deficit round robin, without its rounds when one prompt costs a thousand
-/// times another); in a team the earliest deadline first.
+/// Creates the fair queue. Classes are served by urgency, except for the
+/// minimum share of each class. Within a class, teams share engine time by
+/// start-time fair queueing, which is as fair as deficit round robin but needs
+/// no extra rounds when one prompt costs a thousand times another. Within a
+/// team, the earliest deadline goes first.
 std::unique_ptr<RequestQueue> MakeFairQueue(FairQueueOptions aOptions);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-retry-budget.h
+++ b/include/gooseberrylift/gooseberrylift-retry-budget.h
@@ -1,7 +1,6 @@
-// Bounds second tries. The load pattern it answers: a retry storm, in which
-// each failure makes more requests, which make more failures. Without it three
-// attempts a request triple the load on the endpoints that are left just when
-// some are gone.
+// Limits retries to prevent a retry storm, in which failures cause more
+// requests and these cause more failures. Without it, three attempts per
+// request triple the load on the remaining endpoints when some have failed.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_RETRY_BUDGET_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_RETRY_BUDGET_H_
@@ -11,17 +10,17 @@
 
 namespace gooseberrylift {
 
-// Each first try of a service puts a share of a token into its budget; each
-// second try takes a whole one. Not thread-safe.
+// Token bucket per service: each first attempt adds a fraction of a token, each
+// retry takes a whole one. Not thread-safe.
 class RetryBudget
 {
 public:
   struct Options
   {
-    // Load on endpoints stays under 1.1 times the first tries; what is saved
-    // carries a short outage of a few endpoints and no more.
-    double share_ = 0.08;
-    double most_ = 10;
+    // Keeps the load on endpoints below 1.1 times the first attempts. A full
+    // bucket covers a short outage of a few endpoints and no more.
+    double tokensPerFirstAttempt_ = 0.08;
+    double capacity_ = 10;
   };
 
   explicit RetryBudget(Options aOptions)
@@ -29,13 +28,14 @@
   {
   }
 
-  void OnFirstTry(const std::string& aService);
+  /// Records a first attempt, which adds to the budget.
+  void OnFirstAttempt(const std::string& aService);
 
-  /// Takes a second try out of the budget; false when it is spent.
-  bool TakeRetry(const std::string& aService);
+  /// Charges a retry to the budget; returns false if the budget is exhausted.
+  bool TryTakeRetry(const std::string& aService);
 
 private:
-  double& Of(const std::string& aService);
+  double& TokensOf(const std::string& aService);
 
   Options options_;
   std::map<std::string, double> tokens_;
--- a/include/gooseberrylift/gooseberrylift-scheduler.h
+++ b/include/gooseberrylift/gooseberrylift-scheduler.h
@@ -1,9 +1,9 @@
-// Decides, for one pool, which endpoint a request goes to, who waits and who
-// is refused. It joins the small decisions, each in its own header: cost model,
-// admission, queue, lanes, placement, retry budget and endpoint health. The
-// placement's name chooses between them and the baselines, which run through
-// the same code: first come first served, without refusals before the
-// deadline.
+// Decides, for one pool, which endpoint a request is sent to, and which
+// requests wait or are refused. It combines the cost model, admission control,
+// request queue, lanes, placement, retry budget and endpoint health, each in
+// its own header. The configured placement selects either these or a baseline,
+// which runs through the same code: first come, first served, without refusals
+// before the deadline.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_SCHEDULER_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_SCHEDULER_H_
@@ -27,8 +27,8 @@
 
 namespace gooseberrylift {
 
-// One instance serves one pool and is driven by events that carry the time,
-// so that a test replays a load without clock or network:
+// One instance serves one pool. It is driven by timestamped events, so that
+// tests can replay a load without a clock or a network:
 //
 //   Scheduler scheduler({ .maxConcurrency_ = 8 });
 //   scheduler.SetEndpoints(views, now);
@@ -36,18 +36,17 @@
 //   for (const SchedulerAction& action : scheduler.TakeActions()) ...
 //   scheduler.OnFinished(info.id_, outcome, now);
 //
-// It is not thread-safe: the runtime holds the shard's lock around each call.
-// No call's cost grows with the number of waiting requests by more than its
-// logarithm.
+// Not thread-safe: the runtime holds the shard's lock around each call. Queue
+// operations take logarithmic time in the number of waiting requests.
 class Scheduler
 {
 public:
   struct Options
   {
-    int maxConcurrency_ = 32;               // requests outstanding per endpoint
+    int maxConcurrency_ = 32;               // outstanding requests per endpoint
     std::string placement_ = "least-work";  // one of PlacementKinds
     std::string zone_;                      // of this host
-    std::map<std::string, double> weights_; // of teams; 1 when missing
+    std::map<std::string, double> weights_; // per team; 1 if missing
     std::uint64_t seed_ = 1;
 
     bool operator==(const Options&) const = default;
@@ -55,117 +54,118 @@
 
   explicit Scheduler(Options aOptions);
 
-  /// Takes in the endpoints of the pool as this host sees them now.
-  /// @param aViews every endpoint that is not gone, leaving ones included
+  /// Replaces the endpoints of the pool by the current view of this host.
+  /// @param aViews all known endpoints, including those that are leaving
   /// @param aNow the current time
   void SetEndpoints(std::vector<EndpointView> aViews, TimePoint aNow);
 
-  /// Takes in changed options; waiting requests keep their places by the new
-  /// order.
+  /// Applies changed options. Waiting requests are requeued in the new order.
   void Configure(Options aOptions);
 
-  /// Takes in how many hosts share the pool, this one included.
-  void SetHosts(std::size_t aHosts) { hosts_ = aHosts; }
+  /// Sets the number of hosts that share the pool, including this one.
+  void SetHosts(std::size_t aHosts) { hostCount_ = aHosts; }
 
-  /// Asks for an endpoint. The answer comes with a later TakeActions.
+  /// Submits a request. TakeActions returns the decision, now or later.
   void OnRequest(const RequestInfo& aInfo, TimePoint aNow);
 
-  /// Withdraws a waiting request, because its caller left.
+  /// Removes a waiting request whose caller disconnected.
   void OnCancelled(std::uint64_t aId, TimePoint aNow);
 
-  /// Tells that the first token of a started request reached the caller.
+  /// Records the first token of a running request.
   void OnFirstToken(std::uint64_t aId, TimePoint aNow);
 
-  /// Tells what came of a started request and frees its place.
+  /// Records the outcome of a running request and releases its place.
   void OnFinished(std::uint64_t aId,
                   const RequestOutcome& aOutcome,
                   TimePoint aNow);
 
-  /// Refuses waiting requests that can't meet their deadline any more; called
-  /// periodically.
+  /// Refuses waiting requests that can no longer meet their deadline. Must be
+  /// called periodically.
   void OnTick(TimePoint aNow);
 
-  /// Gives the decisions taken since the last call, in order.
+  /// Returns the decisions made since the last call, in order.
   std::vector<SchedulerAction> TakeActions();
 
   std::size_t Waiting() const;
   std::size_t Running() const { return running_.size(); }
 
 private:
-  // The requests of one range of lengths, which wait for the same engines.
+  // Requests in one range of prompt lengths, which wait for the same engines.
   struct Lane
   {
     std::unique_ptr<RequestQueue> queue_;
-    std::vector<Admission> admission_; // by class
+    std::vector<AdmissionController> admission_; // by class
 
-    Admission& Of(ServiceClass aClass)
+    AdmissionController& AdmissionFor(ServiceClass aClass)
     {
       return admission_[static_cast<std::size_t>(aClass)];
     }
   };
 
-  // A request at an endpoint.
-  struct Run
+  // A request that was sent to an endpoint.
+  struct RunningRequest
   {
     RequestInfo info_;
     std::string endpoint_;
     std::chrono::microseconds cost_{ 0 };
-    std::chrono::microseconds predicted_{ 0 }; // cost and the wait before it
+    std::chrono::microseconds predicted_{ 0 }; // cost_ plus the wait before it
     TimePoint sent_;
-    TimePoint firstToken_{}; // the epoch while it has not come
-    bool alone_ = false;     // nothing stood before it, so its time teaches
+    TimePoint firstToken_{}; // the epoch until it arrives
+    bool noBacklog_ = false; // only then does its time fit the cost model
   };
 
-  bool Fair() const { return kind_->fair_; }
+  bool IsAdaptive() const { return placementKind_->adaptive_; }
   bool IsLong(const RequestInfo& aInfo) const;
   Lane& LaneOf(const RequestInfo& aInfo);
   std::chrono::microseconds PredictWait(const RequestInfo& aInfo);
   bool Admit(const WaitingRequest& aRequest, TimePoint aNow);
-  void Unqueue(Lane& aLane, std::uint64_t aId, bool aServed, TimePoint aNow);
+  void Dequeue(Lane& aLane, std::uint64_t aId, bool aServed, TimePoint aNow);
   bool FitsMemory(const RequestInfo& aInfo) const;
-  bool HasCandidate(const RequestInfo& aInfo, bool aEjected) const;
+  bool HasCandidate(const RequestInfo& aInfo, bool aAllowEjected) const;
   bool IsEligible(const EndpointSlot& aSlot,
                   const RequestInfo& aInfo,
-                  bool aEjected,
+                  bool aAllowEjected,
                   TimePoint aNow) const;
-  void Pump(TimePoint aNow);
-  void PumpLane(Lane& aLane, TimePoint aNow);
+  void DispatchAll(TimePoint aNow);
+  void DispatchLane(Lane& aLane, TimePoint aNow);
   void Start(const WaitingRequest& aRequest,
              EndpointSlot& aSlot,
              TimePoint aNow);
-  std::chrono::microseconds FirstTokenLimit(const Run& aRun,
+  std::chrono::microseconds FirstTokenLimit(const RunningRequest& aRun,
                                             TimePoint aNow) const;
-  void Learn(const Run& aRun, EndpointSlot& aSlot, TimePoint aNow);
-  void LearnTimeout(const Run& aRun, TimePoint aNow);
-  void LearnCall(const Run& aRun,
-                 EndpointSlot& aSlot,
-                 const RequestOutcome& aOutcome,
-                 TimePoint aNow);
+  void RecordFirstToken(const RunningRequest& aRun,
+                        EndpointSlot& aSlot,
+                        TimePoint aNow);
+  void RecordTimeout(const RunningRequest& aRun, TimePoint aNow);
+  void RecordServiceCall(const RunningRequest& aRun,
+                         EndpointSlot& aSlot,
+                         const RequestOutcome& aOutcome,
+                         TimePoint aNow);
   std::chrono::microseconds CostOf(const RequestInfo& aInfo) const;
-  void RefreshLive();
-  void RefreshEjections(TimePoint aNow);
+  void RebuildLiveEndpoints();
+  void RefreshEjectionsAndLanes(TimePoint aNow);
   void Refuse(std::uint64_t aId,
               ResultCode aCode,
               std::string aText,
               std::chrono::milliseconds aRetryAfter);
 
   Options options_;
-  const PlacementKind* kind_;
+  const PlacementKind* placementKind_;
   std::unique_ptr<PlacementStrategy> placement_;
   CostModel cost_;
-  PoolPace pace_;
-  LaneSplit lanes_;
-  RetryBudget retries_;
-  std::array<Lane, 2> queues_; // short and long; baselines use the first
+  PoolLatencyRatio poolRatio_;
+  LaneSplit laneSplit_;
+  RetryBudget retryBudget_;
+  std::array<Lane, 2> requestLanes_; // short, long; baselines use the first
   std::map<std::string, std::unique_ptr<EndpointSlot>> slots_;
-  std::vector<EndpointSlot*> live_; // in an order that all hosts share
-  std::map<std::uint64_t, Run> running_;
+  std::vector<EndpointSlot*> liveEndpoints_; // in the same order on all hosts
+  std::map<std::uint64_t, RunningRequest> running_;
   std::vector<SchedulerAction> actions_;
-  std::size_t hosts_ = 1;
-  std::uint64_t largestMemory_ = 0; // tokens; 0 while unknown
-  int learnt_ = 0;                  // first tokens seen
-  double callUs_ = 10'000;          // usual time of a plain service's call
-  TimePoint refreshed_{};
+  std::size_t hostCount_ = 1;
+  std::uint64_t largestKvCapacity_ = 0; // tokens; 0 while unknown
+  int firstTokensSeen_ = 0;
+  double serviceCallUs_ = 10'000; // moving average, plain services
+  TimePoint lastRefresh_{};
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-team-limiter.h
+++ b/include/gooseberrylift/gooseberrylift-team-limiter.h
@@ -1,7 +1,7 @@
-// Keeps each team to its tokens a second over all hosts. The load pattern it
-// answers: a team whose requests come in on one host today and on another
-// tomorrow. Without sharing, a limit of its own on each host is either nine
-// times too large in sum, or a ninth of what the team may have where it asks.
+// Enforces the token rate limit of each team across all hosts, even when its
+// requests move from one host to another. With nine hosts, independent limits
+// per host would either allow nine times the limit in total, or only a ninth of
+// it where the requests arrive.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_TEAM_LIMITER_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_TEAM_LIMITER_H_
@@ -19,43 +19,45 @@
 
 namespace gooseberrylift {
 
-// A host's share of a limit is its own demand over that of all hosts. Hosts
-// hear of one another late, so each counts its own published demand at its
-// least and the others' at their most over a window. Whenever word arrives
-// within the window, all shares are at most those of one common moment, and
-// their sum is at most the limit; a small floor for each host is the slack.
-// Not thread-safe.
+// Each host's share of a limit is its demand divided by the demand of all
+// hosts. Digests arrive with a delay, so a host uses the minimum of its own
+// published demand and the maximum of the others' over a window. As long as
+// digests arrive within the window, no share exceeds its value for a common
+// point in time, and the shares add up to at most the limit, apart from a small
+// floor per host. Not thread-safe.
 class TeamLimiter
 {
 public:
   struct Options
   {
-    // Digests come each second; three cover a lost one and the way.
+    // Digests are sent every second; three cover a lost one and the delivery.
     std::chrono::milliseconds window_{ 3000 };
-    // All hosts' floors together. A team's first request on a host passes at
-    // once by it, before any share was earned.
+    // Share of the limit reserved for a floor per host, which admits a team's
+    // first request on a host before the host has a share. All floors together
+    // are twice this, so the sum of the shares can exceed the limit by it.
     double floorShare_ = 0.05;
-    // A silent host's demand counts on for this long: it may be serving still.
-    std::chrono::seconds silent_{ 30 };
-    std::chrono::seconds memory_{ 2 }; // of the demand
+    // How long the demand of a silent host still counts; it may still be
+    // serving.
+    std::chrono::seconds peerTimeout_{ 30 };
+    std::chrono::seconds demandDecayTime_{ 2 }; // time constant
   };
 
   explicit TeamLimiter(Options aOptions);
 
-  /// Takes in the limits of the configuration; a team without one is free.
+  /// Sets the configured limits. A team without a limit is not restricted.
   void SetLimits(const std::map<std::string, double>& aTokensPerSecond);
 
-  /// Takes in what the other hosts last said of their demand.
+  /// Applies the latest digests of the other hosts.
   void SetPeers(const std::vector<Digest>& aDigests, TimePoint aNow);
 
-  /// Asks to let a request of a team pass.
-  /// @return true when it may, and its tokens are counted
+  /// Requests permission for a request of a team.
+  /// @return true if it may proceed, in which case its tokens are charged
   bool Take(const std::string& aTeam, std::uint64_t aTokens, TimePoint aNow);
 
-  /// Gives this host's demand, to be told to the others, once a period.
+  /// Returns this host's demand for its digest. Called once per digest period.
   std::vector<TeamDemand> Publish(TimePoint aNow);
 
-  /// Gives this host's present share of a team's limit, in tokens a second.
+  /// Returns this host's current share of a team's limit, in tokens per second.
   double Share(const std::string& aTeam, TimePoint aNow) const;
 
 private:
@@ -67,16 +69,16 @@
 
   struct Team
   {
-    double demand_ = 0; // tokens a second, smoothed
-    TimePoint seen_{};
-    double balance_ = 0;
-    TimePoint filled_{};
+    double demand_ = 0; // tokens per second, smoothed
+    TimePoint lastDecay_{};
+    double bucketTokens_ = 0;
+    TimePoint lastRefill_{};
     std::deque<Sample> published_;
   };
 
   struct Peer
   {
-    TimePoint heard_{};
+    TimePoint lastHeard_{};
     std::uint64_t sequence_ = 0;
     std::map<std::string, std::deque<Sample>> demand_;
   };
