--- a/src/core/gooseberrylift-admission.cc
+++ b/src/core/gooseberrylift-admission.cc
@@ -10,17 +10,18 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLeastRetryAfter{ 250 };
-constexpr milliseconds kMostRetryAfter{ 60'000 };
-// Decoding beside a long prompt takes longer than on the average.
+constexpr milliseconds kMinRetryAfter{ 250 };
+constexpr milliseconds kMaxRetryAfter{ 60'000 };
+// Decoding alongside the prefill of a long prompt is slower than average.
 constexpr double kServiceMargin = 1.3;
-constexpr double kWaitGain = 0.05;
-constexpr double kLeastRate = 0.01;
-// How far the rate's memory reaches: a second of a burst of five counts, and
-// a lull of the same length does not spoil it.
-constexpr std::chrono::seconds kMemory{ 4 };
-constexpr std::size_t kFirstSweep = 256;
-constexpr double kPriorSeconds = 0.5; // the weight of the prior
+constexpr double kEngineWaitGain = 0.05;
+constexpr double kMinRate = 0.01;
+// Time constant of the exponential decay: long enough that a lull of one second
+// does not distort the rate, short enough that one second of a five-second
+// burst affects it.
+constexpr std::chrono::seconds kDecayTime{ 4 };
+constexpr std::size_t kMinSweepThreshold = 256;
+constexpr double kPriorSeconds = 0.5; // weight of the prior
 
 double Seconds(microseconds aTime)
 {
@@ -31,95 +32,99 @@
 
 void DrainRate::OnServed(microseconds aCost, TimePoint aNow)
 {
-  Forget(aNow);
-  served_ += Seconds(aCost);
+  Decay(aNow);
+  servedSeconds_ += Seconds(aCost);
 }
 
 void DrainRate::OnWaiting(bool aWaiting, TimePoint aNow)
 {
-  Forget(aNow);
-  waiting_ = aWaiting;
+  Decay(aNow);
+  hasWaiting_ = aWaiting;
 }
 
 double DrainRate::Rate(double aPrior) const
 {
-  return std::max(kLeastRate,
-                  (served_ + aPrior * kPriorSeconds) / (busy_ + kPriorSeconds));
+  return std::max(kMinRate,
+                  (servedSeconds_ + aPrior * kPriorSeconds) /
+                    (waitingSeconds_ + kPriorSeconds));
 }
 
 bool DrainRate::IsStale(TimePoint aNow) const
 {
-  return !waiting_ && aNow - last_ > kMemory * 10;
+  return !hasWaiting_ && aNow - lastUpdate_ > kDecayTime * 10;
 }
 
-void DrainRate::Forget(TimePoint aNow)
+void DrainRate::Decay(TimePoint aNow)
 {
-  const std::chrono::duration<double> since = aNow - last_;
-  const std::chrono::duration<double> memory = kMemory;
-  const double kept = std::exp(-(since / memory));
-  last_ = aNow;
-  served_ *= kept;
-  // Time in which nothing waited teaches nothing of the rate.
-  busy_ = busy_ * kept + (waiting_ ? since.count() : 0);
+  const std::chrono::duration<double> elapsed = aNow - lastUpdate_;
+  const std::chrono::duration<double> decayTime = kDecayTime;
+  const double retained = std::exp(-(elapsed / decayTime));
+  lastUpdate_ = aNow;
+  servedSeconds_ *= retained;
+  // Time with an empty queue carries no information about the drain rate.
+  waitingSeconds_ =
+    waitingSeconds_ * retained + (hasWaiting_ ? elapsed.count() : 0);
 }
 
-Admission::Admission(Options aOptions)
+AdmissionController::AdmissionController(Options aOptions)
   : options_(aOptions)
   , random_(static_cast<std::uint32_t>(aOptions.seed_))
-  , sweepAt_(kFirstSweep)
+  , sweepThreshold_(kMinSweepThreshold)
 {
 }
 
-DrainRate& Admission::DrainOf(const std::string& aTeam, TimePoint aNow)
+DrainRate& AdmissionController::DrainRateOf(const std::string& aTeam,
+                                            TimePoint aNow)
 {
-  if (drains_.size() > sweepAt_) {
-    std::erase_if(drains_, [aNow](const auto& aEntry) {
+  if (drainRates_.size() > sweepThreshold_) {
+    std::erase_if(drainRates_, [aNow](const auto& aEntry) {
       return aEntry.second.IsStale(aNow);
     });
-    sweepAt_ = std::max(kFirstSweep, drains_.size() * 2);
+    sweepThreshold_ = std::max(kMinSweepThreshold, drainRates_.size() * 2);
   }
-  return drains_[aTeam];
+  return drainRates_[aTeam];
 }
 
-microseconds Admission::WaitFor(const std::string& aTeam,
-                                microseconds aWork,
-                                double aShare) const
+microseconds AdmissionController::PredictDrainTime(const std::string& aTeam,
+                                                   microseconds aQueuedCost,
+                                                   double aShare) const
 {
-  const auto found = drains_.find(aTeam);
+  const auto found = drainRates_.find(aTeam);
   const double prior = prior_ * aShare;
   const double rate =
-    found == drains_.end() ? prior : found->second.Rate(prior);
+    found == drainRates_.end() ? prior : found->second.Rate(prior);
   return microseconds(static_cast<std::int64_t>(
-    static_cast<double>(aWork.count()) / std::max(kLeastRate, rate)));
+    static_cast<double>(aQueuedCost.count()) / std::max(kMinRate, rate)));
 }
 
-void Admission::OnEngineWait(microseconds aWait)
+void AdmissionController::OnEngineWait(microseconds aWait)
 {
   const auto wait =
     static_cast<double>(std::max(microseconds(0), aWait).count());
-  engineWaitUs_ += kWaitGain * (wait - engineWaitUs_);
+  meanEngineWaitUs_ += kEngineWaitGain * (wait - meanEngineWaitUs_);
 }
 
-microseconds Admission::EngineWait() const
+microseconds AdmissionController::EngineWait() const
 {
-  return microseconds(static_cast<std::int64_t>(engineWaitUs_));
+  return microseconds(static_cast<std::int64_t>(meanEngineWaitUs_));
 }
 
-bool Admission::Fits(microseconds aWait,
-                     microseconds aService,
-                     TimePoint aDeadline,
-                     TimePoint aNow) const
+bool AdmissionController::MeetsDeadline(microseconds aWait,
+                                        microseconds aService,
+                                        TimePoint aDeadline,
+                                        TimePoint aNow) const
 {
-  const double needed = static_cast<double>(aWait.count()) * options_.margin_ +
-                        static_cast<double>(aService.count()) * kServiceMargin;
+  const double needed =
+    static_cast<double>(aWait.count()) * options_.waitMargin_ +
+    static_cast<double>(aService.count()) * kServiceMargin;
   return aNow + microseconds(static_cast<std::int64_t>(needed)) <= aDeadline;
 }
 
-milliseconds Admission::RetryAfter(microseconds aWait)
+milliseconds AdmissionController::RetryAfter(microseconds aWait)
 {
   const auto wait = std::clamp(std::chrono::duration_cast<milliseconds>(aWait),
-                               kLeastRetryAfter,
-                               kMostRetryAfter / 2);
+                               kMinRetryAfter,
+                               kMaxRetryAfter / 2);
   std::uniform_int_distribution<std::int64_t> spread(wait.count(),
                                                      2 * wait.count());
   return milliseconds(spread(random_));
--- a/src/core/gooseberrylift-attempts.cc
+++ b/src/core/gooseberrylift-attempts.cc
@@ -4,14 +4,14 @@
 
 void Attempts::OnRefused(const Error& aRefusal)
 {
-  if (!tried_ || aRefusal.code_ != ResultCode::kNoEndpoint) {
+  if (!anyFailed_ || aRefusal.code_ != ResultCode::kNoEndpoint) {
     last_ = aRefusal;
   }
 }
 
 void Attempts::OnFailed(const Error& aError)
 {
-  tried_ = true;
+  anyFailed_ = true;
   last_ = aError;
   if (aError.ran_ != RanState::kNo) {
     ran_ = RanState::kUnknown;
--- a/src/core/gooseberrylift-concurrency-limit.cc
+++ b/src/core/gooseberrylift-concurrency-limit.cc
@@ -6,39 +6,40 @@
 
 namespace {
 
-// The usual time falls at once to a faster call and rises slowly, so that a
-// long overload is not taken for the usual, and a change of the service is.
-constexpr double kRise = 0.002;
+// The baseline drops to a faster call immediately but rises slowly, so that it
+// follows a lasting change of the service without absorbing a long overload.
+constexpr double kBaselineRiseGain = 0.002;
 
-// A limit that is not used says nothing of what the endpoint bears.
-constexpr double kUsedShare = 0.5;
+// The limit grows only while at least this share of it is in use; below that,
+// latency says nothing about the capacity of the endpoint.
+constexpr double kMinUtilization = 0.5;
 
 } // namespace
 
 ConcurrencyLimit::ConcurrencyLimit(Options aOptions)
   : options_(aOptions)
-  , limit_(aOptions.first_)
+  , limit_(aOptions.initial_)
 {
 }
 
-void ConcurrencyLimit::OnFinished(std::chrono::microseconds aTook,
+void ConcurrencyLimit::OnFinished(std::chrono::microseconds aDuration,
                                   bool aFailed,
                                   int aOutstanding)
 {
   if (aFailed) {
-    limit_ = std::max(options_.least_, limit_ * options_.decrease_);
+    limit_ = std::max(options_.min_, limit_ * options_.decrease_);
     return;
   }
-  const auto took = static_cast<double>(aTook.count());
-  if (usualUs_ == 0 || took < usualUs_) {
-    usualUs_ = took;
+  const auto durationUs = static_cast<double>(aDuration.count());
+  if (baselineUs_ == 0 || durationUs < baselineUs_) {
+    baselineUs_ = durationUs;
   } else {
-    usualUs_ += kRise * (took - usualUs_);
+    baselineUs_ += kBaselineRiseGain * (durationUs - baselineUs_);
   }
-  if (took > options_.slowFactor_ * usualUs_ + 1000) {
-    limit_ = std::max(options_.least_, limit_ - (1 - options_.decrease_));
-  } else if (aOutstanding >= kUsedShare * limit_) {
-    limit_ = std::min(options_.most_, limit_ + 1 / limit_);
+  if (durationUs > options_.slowFactor_ * baselineUs_ + 1000) {
+    limit_ = std::max(options_.min_, limit_ - (1 - options_.decrease_));
+  } else if (aOutstanding >= kMinUtilization * limit_) {
+    limit_ = std::min(options_.max_, limit_ + 1 / limit_);
   }
 }
 
--- a/src/core/gooseberrylift-endpoint-book.cc
+++ b/src/core/gooseberrylift-endpoint-book.cc
@@ -20,31 +20,32 @@
       entry = Entry{ .view_ = listed };
       changed = true;
     }
-    entry.listed_ = aNow;
-    // Leaving is sticky for an incarnation: the list lags, and an old copy of
-    // it must not bring back an endpoint that is on its way out.
+    entry.lastListed_ = aNow;
+    // kLeaving is permanent for an incarnation: the list lags, and a stale copy
+    // must not make an endpoint live again while it shuts down.
     entry.listedLeaving_ =
       entry.listedLeaving_ || listed.state_ == EndpointState::kLeaving;
-    changed = Refresh(entry) || changed;
+    changed = UpdateState(entry) || changed;
   }
   return DropUnlisted(aNow) > 0 || changed;
 }
 
-// A list cut short shows the same as endpoints that were taken away. What
-// tells them apart is that the first kind still answers; so an endpoint goes
-// when the list and its own silence agree, or when the list has not shown it
-// for long although it did come.
+// A truncated list is indistinguishable from one with endpoints removed, except
+// that endpoints missing by truncation still answer. An endpoint is therefore
+// removed when it is both unlisted and silent, or when successive lists have
+// not contained it for unlistedRetention_.
 std::size_t EndpointBook::DropUnlisted(TimePoint aNow)
 {
-  TimePoint newest{};
+  TimePoint latestList{};
   for (const auto& [name, entry] : entries_) {
-    newest = std::max(newest, entry.listed_);
+    latestList = std::max(latestList, entry.lastListed_);
   }
   return std::erase_if(entries_, [&](const auto& aEntry) {
     const Entry& entry = aEntry.second;
     const bool silent = entry.failures_ >= options_.failuresUntilDead_;
-    const bool forgotten = newest - entry.listed_ > options_.keepUnlisted_;
-    return entry.listed_ != newest && (silent || forgotten);
+    const bool expired =
+      latestList - entry.lastListed_ > options_.unlistedRetention_;
+    return entry.lastListed_ != latestList && (silent || expired);
   });
 }
 
@@ -58,15 +59,15 @@
   }
   Entry& entry = found->second;
   entry.failures_ = 0;
-  entry.doubted_ = false;
+  entry.suspectedByPeer_ = false;
   if (aReport.incarnation_ > entry.view_.incarnation_) {
     entry.view_.incarnation_ = aReport.incarnation_;
-    entry.saidLeaving_ = false;
+    entry.reportedLeaving_ = false;
     entry.listedLeaving_ = false;
   }
-  entry.saidLeaving_ = entry.saidLeaving_ || aReport.leaving_;
+  entry.reportedLeaving_ = entry.reportedLeaving_ || aReport.leaving_;
   entry.view_.load_ = aReport.load_;
-  return Refresh(entry);
+  return UpdateState(entry);
 }
 
 bool EndpointBook::OnFailure(const std::string& aName, TimePoint /*aNow*/)
@@ -76,7 +77,7 @@
     return false;
   }
   ++found->second.failures_;
-  return Refresh(found->second);
+  return UpdateState(found->second);
 }
 
 bool EndpointBook::OnLeaving(const std::string& aName, TimePoint /*aNow*/)
@@ -85,25 +86,25 @@
   if (found == entries_.end()) {
     return false;
   }
-  found->second.saidLeaving_ = true;
-  return Refresh(found->second);
+  found->second.reportedLeaving_ = true;
+  return UpdateState(found->second);
 }
 
-bool EndpointBook::OnPeerWord(const EndpointDigest& aWord, TimePoint /*aNow*/)
+bool EndpointBook::OnPeerWord(const EndpointDigest& aDigest, TimePoint /*aNow*/)
 {
-  const auto found = entries_.find(aWord.name_);
+  const auto found = entries_.find(aDigest.name_);
   if (found == entries_.end() ||
-      aWord.incarnation_ != found->second.view_.incarnation_) {
+      aDigest.incarnation_ != found->second.view_.incarnation_) {
     return false;
   }
   Entry& entry = found->second;
-  if (aWord.state_ == EndpointState::kLeaving) {
-    entry.saidLeaving_ = true;
+  if (aDigest.state_ == EndpointState::kLeaving) {
+    entry.reportedLeaving_ = true;
   }
-  if (aWord.state_ == EndpointState::kDead && entry.failures_ > 0) {
-    entry.doubted_ = true;
+  if (aDigest.state_ == EndpointState::kDead && entry.failures_ > 0) {
+    entry.suspectedByPeer_ = true;
   }
-  return Refresh(entry);
+  return UpdateState(entry);
 }
 
 std::vector<EndpointView> EndpointBook::Views() const
@@ -116,12 +117,12 @@
   return views;
 }
 
-bool EndpointBook::Refresh(Entry& aEntry) const
+bool EndpointBook::UpdateState(Entry& aEntry) const
 {
   EndpointState state = EndpointState::kLive;
-  if (aEntry.listedLeaving_ || aEntry.saidLeaving_) {
+  if (aEntry.listedLeaving_ || aEntry.reportedLeaving_) {
     state = EndpointState::kLeaving;
-  } else if (aEntry.failures_ + (aEntry.doubted_ ? 1 : 0) >=
+  } else if (aEntry.failures_ + (aEntry.suspectedByPeer_ ? 1 : 0) >=
              options_.failuresUntilDead_) {
     state = EndpointState::kDead;
   }
--- a/src/core/gooseberrylift-endpoint-health.cc
+++ b/src/core/gooseberrylift-endpoint-health.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr double kPaceGain = 0.02;
+constexpr double kPoolRatioGain = 0.02;
 constexpr double kRatioGain = 0.2;
 constexpr double kMaxRatio = 50;
-constexpr double kLeastShare = 0.1;
-constexpr int kMaxDoublings = 6;
+constexpr double kMinTrafficShare = 0.1;
+constexpr int kMaxBackoffDoublings = 6;
 
 } // namespace
 
-void PoolPace::OnRatio(double aRatio)
+void PoolLatencyRatio::OnRatio(double aRatio)
 {
-  usual_ += kPaceGain * (std::min(aRatio, kMaxRatio) - usual_);
+  average_ += kPoolRatioGain * (std::min(aRatio, kMaxRatio) - average_);
 }
 
 EndpointHealth::EndpointHealth(Options aOptions)
@@ -25,65 +25,66 @@
 }
 
 void EndpointHealth::OnFirstToken(double aRatio,
-                                  const PoolPace& aPace,
+                                  const PoolLatencyRatio& aPoolRatio,
                                   TimePoint aNow)
 {
-  faults_ = 0;
-  ++answers_;
+  consecutiveFaults_ = 0;
+  ++responses_;
   ratio_ += kRatioGain * (std::min(aRatio, kMaxRatio) - ratio_);
-  const double usual = std::max(1.0, aPace.Usual());
-  if (answers_ >= options_.leastAnswers_ &&
-      ratio_ > options_.slowFactor_ * usual) {
+  const double poolAverage = std::max(1.0, aPoolRatio.Average());
+  if (responses_ >= options_.minResponses_ &&
+      ratio_ > options_.slowFactor_ * poolAverage) {
     Eject(aNow);
-  } else if (ratio_ < usual * 1.5 && Share(aNow) >= 1.0) {
-    ejections_ = 0;
+  } else if (ratio_ < poolAverage * 1.5 && TrafficShare(aNow) >= 1.0) {
+    consecutiveEjections_ = 0;
   }
 }
 
 void EndpointHealth::OnFault(TimePoint aNow)
 {
-  // After a return one more fault is enough: it has failed before.
-  if (++faults_ >= options_.faultsUntilEjected_ ||
-      (ejections_ > 0 && Share(aNow) < 1.0)) {
+  // During slow start after an ejection, one fault is enough to eject again.
+  if (++consecutiveFaults_ >= options_.faultsUntilEjected_ ||
+      (consecutiveEjections_ > 0 && TrafficShare(aNow) < 1.0)) {
     Eject(aNow);
   }
 }
 
-void EndpointHealth::OnReturned(TimePoint aNow)
+void EndpointHealth::BeginSlowStart(TimePoint aNow)
 {
-  starting_ = true;
-  startedAt_ = aNow;
+  inSlowStart_ = true;
+  slowStartBegin_ = aNow;
   ratio_ = 1.0;
-  answers_ = 0;
-  faults_ = 0;
+  responses_ = 0;
+  consecutiveFaults_ = 0;
 }
 
-double EndpointHealth::Share(TimePoint aNow) const
+double EndpointHealth::TrafficShare(TimePoint aNow) const
 {
-  if (!starting_) {
+  if (!inSlowStart_) {
     return 1.0;
   }
-  const std::chrono::duration<double> since = aNow - startedAt_;
-  const std::chrono::duration<double> whole = options_.slowStart_;
-  return std::clamp(since / whole, kLeastShare, 1.0);
+  const std::chrono::duration<double> elapsed = aNow - slowStartBegin_;
+  const std::chrono::duration<double> total = options_.slowStartDuration_;
+  return std::clamp(elapsed / total, kMinTrafficShare, 1.0);
 }
 
-double EndpointHealth::Slowness() const
+double EndpointHealth::SlowdownFactor() const
 {
   return std::max(1.0, ratio_);
 }
 
 void EndpointHealth::Eject(TimePoint aNow)
 {
-  if (WantsEjection(aNow)) {
+  if (ShouldEject(aNow)) {
     return;
   }
-  const auto length = std::min<std::chrono::milliseconds>(
+  const auto ejectionTime = std::min<std::chrono::milliseconds>(
     options_.longestEjection_,
-    options_.firstEjection_ * (1 << std::min(ejections_, kMaxDoublings)));
-  ++ejections_;
-  ejectedUntil_ = aNow + length;
-  OnReturned(ejectedUntil_);
+    options_.firstEjection_ *
+      (1 << std::min(consecutiveEjections_, kMaxBackoffDoublings)));
+  ++consecutiveEjections_;
+  ejectedUntil_ = aNow + ejectionTime;
+  BeginSlowStart(ejectedUntil_);
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-endpoint-slot.cc
+++ b/src/core/gooseberrylift-endpoint-slot.cc
@@ -8,11 +8,11 @@
 
 using std::chrono::microseconds;
 
-// A report of this many waiting tokens stands for one long prompt, whose cost
-// grows with the square; fewer are taken for a number of short ones.
-constexpr std::uint64_t kOnePrompt = 100'000;
+// At this many waiting tokens or more, a load report is assumed to describe one
+// long prompt, whose cost has a quadratic term; below it, several short ones.
+constexpr std::uint64_t kSinglePromptTokens = 100'000;
 
-microseconds Since(TimePoint aFrom, TimePoint aTo)
+microseconds Elapsed(TimePoint aFrom, TimePoint aTo)
 {
   return std::chrono::duration_cast<microseconds>(aTo - aFrom);
 }
@@ -23,27 +23,29 @@
                           const CostModel& aModel,
                           TimePoint aNow)
 {
-  const bool returned = aView.incarnation_ != view_.incarnation_ ||
-                        (view_.state_ == EndpointState::kDead &&
-                         aView.state_ == EndpointState::kLive);
-  if (returned) {
-    health_.OnReturned(aNow);
+  const bool recovered = aView.incarnation_ != view_.incarnation_ ||
+                         (view_.state_ == EndpointState::kDead &&
+                          aView.state_ == EndpointState::kLive);
+  if (recovered) {
+    health_.BeginSlowStart(aNow);
   }
-  if (returned || aView.load_.at_ != view_.load_.at_) {
+  if (recovered || aView.load_.at_ != view_.load_.at_) {
     const TimePoint at = aView.load_.at_;
     std::uint64_t own = 0;
-    memorySent_ = 0;
+    unreportedMemoryTokens_ = 0;
     for (const Pending& pending : pending_) {
-      (pending.sent_ <= at ? own : memorySent_) += pending.tokens_;
+      (pending.sent_ <= at ? own : unreportedMemoryTokens_) += pending.tokens_;
     }
     const std::uint64_t waiting = aView.load_.waitingTokens_;
     const std::uint64_t others = waiting > own ? waiting - own : 0;
-    const auto shorts = static_cast<std::int64_t>(others);
-    const auto one = static_cast<std::int64_t>(kOnePrompt / 10);
-    const microseconds cost =
-      others >= kOnePrompt ? aModel.Prefill(others)
-                           : aModel.Prefill(kOnePrompt / 10) * shorts / one;
-    othersUntil_ = at + cost;
+    const auto otherTokens = static_cast<std::int64_t>(others);
+    const auto shortPromptTokens =
+      static_cast<std::int64_t>(kSinglePromptTokens / 10);
+    const microseconds cost = others >= kSinglePromptTokens
+                                ? aModel.Prefill(others)
+                                : aModel.Prefill(kSinglePromptTokens / 10) *
+                                    otherTokens / shortPromptTokens;
+    othersBusyUntil_ = at + cost;
   }
   view_ = std::move(aView);
 }
@@ -58,11 +60,11 @@
                        .cost_ = aCost,
                        .sent_ = aNow });
   pendingCost_ += aCost;
-  busyUntil_ = std::max(busyUntil_, aNow) + aCost;
-  memorySent_ += aInfo.promptTokens_ + aInfo.maxTokens_;
+  ownBusyUntil_ = std::max(ownBusyUntil_, aNow) + aCost;
+  unreportedMemoryTokens_ += aInfo.promptTokens_ + aInfo.maxTokens_;
 }
 
-void EndpointSlot::OnStarted(std::uint64_t aId, TimePoint aNow)
+void EndpointSlot::OnPrefillDone(std::uint64_t aId, TimePoint aNow)
 {
   const auto found = std::find_if(
     pending_.begin(), pending_.end(), [aId](const Pending& aPending) {
@@ -73,23 +75,24 @@
   }
   pendingCost_ -= found->cost_;
   pending_.erase(found);
-  busyUntil_ = std::min(busyUntil_, aNow + pendingCost_);
+  ownBusyUntil_ = std::min(ownBusyUntil_, aNow + pendingCost_);
 }
 
 void EndpointSlot::OnEnded(const RequestInfo& aInfo)
 {
   --outstanding_;
   const std::uint64_t need = aInfo.promptTokens_ + aInfo.maxTokens_;
-  memorySent_ -= std::min(memorySent_, need);
+  unreportedMemoryTokens_ -= std::min(unreportedMemoryTokens_, need);
 }
 
 microseconds EndpointSlot::Backlog(TimePoint aNow) const
 {
-  // While a prompt is unanswered past its time, the engine is slower than
-  // predicted: half of what is pending stays on the account.
+  // A prompt without a first token after its predicted time shows that the
+  // engine is slower than predicted, so at least half of the pending cost is
+  // counted.
   const microseconds own =
-    std::max(Since(aNow, std::max(aNow, busyUntil_)), pendingCost_ / 2);
-  const microseconds others = Since(aNow, std::max(aNow, othersUntil_));
+    std::max(Elapsed(aNow, std::max(aNow, ownBusyUntil_)), pendingCost_ / 2);
+  const microseconds others = Elapsed(aNow, std::max(aNow, othersBusyUntil_));
   return own + others;
 }
 
@@ -100,7 +103,8 @@
     return true;
   }
   const std::uint64_t need = aInfo.promptTokens_ + aInfo.maxTokens_;
-  return load.kvTokensUsed_ + memorySent_ + need <= load.kvTokensTotal_;
+  return load.kvTokensUsed_ + unreportedMemoryTokens_ + need <=
+         load.kvTokensTotal_;
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-first-token-histogram.cc
+++ b/src/core/gooseberrylift-first-token-histogram.cc
@@ -10,7 +10,7 @@
 namespace gooseberrylift {
 
 namespace bh = boost::histogram;
-using namespace bh::literals; // 0_c names an axis
+using namespace bh::literals; // 0_c is an axis index
 
 namespace {
 
@@ -24,7 +24,7 @@
 using ServiceAxis =
   bh::axis::category<std::string, bh::use_default, bh::axis::option::growth_t>;
 
-const TimeAxis& Times()
+const TimeAxis& TimeBins()
 {
   static const TimeAxis kTimes(kBins, kLowest, kHighest);
   return kTimes;
@@ -78,9 +78,9 @@
       aBin.bin_ > kBins) {
     return;
   }
-  // The middle of the bin, which is then counted as often as it was there.
+  // Any time inside the bin selects it; the weight carries its count.
   const double time =
-    aBin.bin_ < 0 ? 0 : Times().value(static_cast<double>(aBin.bin_) + 0.5);
+    aBin.bin_ < 0 ? 0 : TimeBins().value(static_cast<double>(aBin.bin_) + 0.5);
   impl_->histogram_(
     bh::weight(aBin.count_), aBin.service_, static_cast<int>(aBin.band_), time);
 }
@@ -136,7 +136,7 @@
 std::chrono::duration<double> FirstTokenHistogram::UpperEdge(int aBin)
 {
   return std::chrono::duration<double>(aBin < 0 ? kLowest
-                                                : Times().bin(aBin).upper());
+                                                : TimeBins().bin(aBin).upper());
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-placement-strategy.cc
+++ b/src/core/gooseberrylift-placement-strategy.cc
@@ -24,7 +24,7 @@
 public:
   EndpointSlot* Choose(const PlacementQuery& /*aQuery*/,
                        std::span<EndpointSlot* const> aSlots,
-                       const Eligible& aEligible) override
+                       const EligibilityFilter& aEligible) override
   {
     for (std::size_t tried = 0; tried < aSlots.size(); ++tried) {
       EndpointSlot* slot = aSlots[next_++ % aSlots.size()];
@@ -44,7 +44,7 @@
 public:
   EndpointSlot* Choose(const PlacementQuery& /*aQuery*/,
                        std::span<EndpointSlot* const> aSlots,
-                       const Eligible& aEligible) override
+                       const EligibilityFilter& aEligible) override
   {
     EndpointSlot* best = nullptr;
     for (EndpointSlot* slot : aSlots) {
@@ -57,8 +57,9 @@
   }
 };
 
-// Looks at a sample of the endpoints, so that its cost does not grow with the
-// fleet. In a pool of up to kSample it sees them all.
+// Compares a sample of the endpoints, so that the cost of a choice does not
+// grow with the fleet. Pools of up to kMaxSampledEndpoints are compared in
+// full.
 class LeastWork : public PlacementStrategy
 {
 public:
@@ -70,78 +71,84 @@
 
   EndpointSlot* Choose(const PlacementQuery& aQuery,
                        std::span<EndpointSlot* const> aSlots,
-                       const Eligible& aEligible) override
+                       const EligibilityFilter& aEligible) override
   {
     if (aSlots.empty()) {
       return nullptr;
     }
-    // A random start breaks ties differently on each host.
-    const std::size_t looks = std::min(aSlots.size(), kSample);
+    // A random start makes hosts break ties differently.
+    const std::size_t samples = std::min(aSlots.size(), kMaxSampledEndpoints);
     const std::size_t start = random_() % aSlots.size();
     const std::size_t step =
-      looks == aSlots.size() ? 1 : 1 + random_() % (aSlots.size() / kSample);
+      samples == aSlots.size()
+        ? 1
+        : 1 + random_() % (aSlots.size() / kMaxSampledEndpoints);
     EndpointSlot* best = nullptr;
-    microseconds least = microseconds::max();
-    for (std::size_t look = 0; look < looks; ++look) {
-      EndpointSlot* slot = aSlots[(start + look * step) % aSlots.size()];
-      const microseconds wait = WaitAt(*slot, aQuery);
-      if (wait < least && aEligible(*slot)) {
+    microseconds lowest = microseconds::max();
+    for (std::size_t index = 0; index < samples; ++index) {
+      EndpointSlot* slot = aSlots[(start + index * step) % aSlots.size()];
+      const microseconds delay = PredictedDelay(*slot, aQuery);
+      if (delay < lowest && aEligible(*slot)) {
         best = slot;
-        least = wait;
+        lowest = delay;
       }
     }
     return best;
   }
 
 private:
-  // Sixteen is more than twice the size of the short lane that one host keeps
-  // busy at today's sizes, and holds a choice under 5 us.
-  static constexpr std::size_t kSample = 32;
-
-  // Work is sent ahead only as far as hides the round trip and the lag of a
-  // load report; what is held back stays in the fair queue's order. Urgent
-  // work overtakes on the engine itself, so holding it back here for the sake
-  // of other classes' backlog only delays it.
-  static constexpr microseconds kAheadShort{ 60'000 };
-  static constexpr microseconds kAheadLong{ 300'000 };
-  static constexpr microseconds kAheadUrgent{ 2000'000 };
-
-  // One crossing of the availability zones there and back at today's widest.
-  static constexpr microseconds kCrossing{ 3000 };
-
-  // What one outstanding call of a plain service counts against the crossing.
-  static constexpr microseconds kPerCall{ 1000 };
-
-  microseconds WaitAt(const EndpointSlot& aSlot,
-                      const PlacementQuery& aQuery) const
+  // Sixteen endpoints are already more than twice the short lane that one host
+  // keeps busy at current fleet sizes, and the limit keeps a choice under 5 us.
+  static constexpr std::size_t kMaxSampledEndpoints = 32;
+
+  // Maximum backlog of an endpoint that still receives requests: enough to hide
+  // the round trip and the lag of a load report. Other requests wait in the
+  // fair queue, which keeps their order. The engine itself runs urgent requests
+  // first, so holding them back for the backlog of other classes would only
+  // delay them.
+  static constexpr microseconds kMaxBacklogShort{ 60'000 };
+  static constexpr microseconds kMaxBacklogLong{ 300'000 };
+  static constexpr microseconds kMaxBacklogUrgent{ 2000'000 };
+
+  // Longest round trip between the current availability zones.
+  static constexpr microseconds kCrossZoneRoundTrip{ 3000 };
+
+  // Delay assumed per outstanding call of a plain service, to compare with the
+  // cross-zone round trip.
+  static constexpr microseconds kOutstandingCallPenalty{ 1000 };
+
+  microseconds PredictedDelay(const EndpointSlot& aSlot,
+                              const PlacementQuery& aQuery) const
   {
-    const bool near = zone_.empty() || aSlot.view_.zone_ == zone_;
-    const microseconds way = near ? microseconds(0) : kCrossing;
-    if (aSlot.IsPlain()) {
-      return kPerCall * aSlot.outstanding_ + way;
+    const bool sameZone = zone_.empty() || aSlot.view_.zone_ == zone_;
+    const microseconds zoneDelay =
+      sameZone ? microseconds(0) : kCrossZoneRoundTrip;
+    if (aSlot.IsPlainService()) {
+      return kOutstandingCallPenalty * aSlot.outstanding_ + zoneDelay;
     }
     const microseconds backlog = aSlot.Backlog(aQuery.now_);
-    if (aQuery.long_ != aSlot.longLane_) {
-      // Short prompts borrow a long engine only while it has nothing to do;
-      // a long prompt on a short engine would block its whole lane.
+    if (aQuery.isLong_ != aSlot.inLongLane_) {
+      // A short prompt may use an engine of the long lane only while it is
+      // idle. A long prompt never uses the short lane, where it would block the
+      // others.
       const bool urgent = aQuery.info_.class_ == ServiceClass::kUrgent;
-      if (aQuery.long_ || backlog > microseconds(0) ||
+      if (aQuery.isLong_ || backlog > microseconds(0) ||
           (urgent && aSlot.outstanding_ > 0)) {
         return microseconds::max();
       }
     }
-    const microseconds ahead = aQuery.long_ ? kAheadLong
-                               : aQuery.info_.class_ == ServiceClass::kUrgent
-                                 ? kAheadUrgent
-                                 : kAheadShort;
-    if (backlog > ahead) {
+    const microseconds maxBacklog =
+      aQuery.isLong_                                 ? kMaxBacklogLong
+      : aQuery.info_.class_ == ServiceClass::kUrgent ? kMaxBacklogUrgent
+                                                     : kMaxBacklogShort;
+    if (backlog > maxBacklog) {
       return microseconds::max();
     }
-    const double slowness =
-      aSlot.health_.Slowness() / aSlot.health_.Share(aQuery.now_);
+    const double slowdown =
+      aSlot.health_.SlowdownFactor() / aSlot.health_.TrafficShare(aQuery.now_);
     const auto work = microseconds(static_cast<std::int64_t>(
-      static_cast<double>((backlog + aQuery.cost_).count()) * slowness));
-    return work + way;
+      static_cast<double>((backlog + aQuery.cost_).count()) * slowdown));
+    return work + zoneDelay;
   }
 
   std::string zone_;
--- a/src/core/gooseberrylift-replay-guard.cc
+++ b/src/core/gooseberrylift-replay-guard.cc
@@ -9,18 +9,18 @@
 
 bool ReplayGuard::Accept(const std::string& aNonce, Time aSent, Time aNow)
 {
-  while (!bySent_.empty() &&
-         bySent_.begin()->first < aNow - 2 * options_.window_) {
-    seen_.erase(bySent_.begin()->second);
-    bySent_.erase(bySent_.begin());
+  while (!noncesBySentTime_.empty() &&
+         noncesBySentTime_.begin()->first < aNow - 2 * options_.window_) {
+    nonces_.erase(noncesBySentTime_.begin()->second);
+    noncesBySentTime_.erase(noncesBySentTime_.begin());
   }
   if (aSent < aNow - options_.window_ || aSent > aNow + options_.window_) {
     return false;
   }
-  if (!seen_.insert(aNonce).second) {
+  if (!nonces_.insert(aNonce).second) {
     return false;
   }
-  bySent_.emplace(aSent, aNonce);
+  noncesBySentTime_.emplace(aSent, aNonce);
   return true;
 }
 
--- a/src/core/gooseberrylift-request-queue.cc
+++ b/src/core/gooseberrylift-request-queue.cc
@@ -9,20 +9,21 @@
 
 using std::chrono::microseconds;
 
-constexpr std::size_t kClasses = 3;
+constexpr std::size_t kClassCount = 3;
 
-std::size_t IndexOf(ServiceClass aClass)
+std::size_t ClassIndex(ServiceClass aClass)
 {
   return static_cast<std::size_t>(aClass);
 }
 
-// The waiting requests by number and by latest start, which both kinds keep.
+// Indexes the queued requests by id and by latest start, for both queue types.
 class QueueBase : public RequestQueue
 {
 public:
-  const WaitingRequest* MostPressing() const override
+  const WaitingRequest* NextToExpire() const override
   {
-    return pressing_.empty() ? nullptr : Find(pressing_.begin()->second);
+    return byLatestStart_.empty() ? nullptr
+                                  : Find(byLatestStart_.begin()->second);
   }
 
   const WaitingRequest* Find(std::uint64_t aId) const override
@@ -34,25 +35,25 @@
   std::size_t Size() const override { return requests_.size(); }
 
 protected:
-  void Keep(WaitingRequest aRequest)
+  void Insert(WaitingRequest aRequest)
   {
-    pressing_.emplace(aRequest.latestStart_, aRequest.info_.id_);
-    work_ += aRequest.cost_;
+    byLatestStart_.emplace(aRequest.latestStart_, aRequest.info_.id_);
+    queuedCost_ += aRequest.cost_;
     requests_.emplace(aRequest.info_.id_, std::move(aRequest));
   }
 
-  void Drop(const WaitingRequest& aRequest)
+  void Erase(const WaitingRequest& aRequest)
   {
-    pressing_.erase({ aRequest.latestStart_, aRequest.info_.id_ });
-    work_ -= aRequest.cost_;
+    byLatestStart_.erase({ aRequest.latestStart_, aRequest.info_.id_ });
+    queuedCost_ -= aRequest.cost_;
     requests_.erase(aRequest.info_.id_);
   }
 
-  microseconds work_{ 0 };
+  microseconds queuedCost_{ 0 };
 
 private:
   std::unordered_map<std::uint64_t, WaitingRequest> requests_;
-  std::set<std::pair<TimePoint, std::uint64_t>> pressing_;
+  std::set<std::pair<TimePoint, std::uint64_t>> byLatestStart_;
 };
 
 class FifoQueue : public QueueBase
@@ -60,8 +61,8 @@
 public:
   void Push(WaitingRequest aRequest) override
   {
-    order_.insert(aRequest.info_.id_); // ids rise with arrival
-    Keep(std::move(aRequest));
+    order_.insert(aRequest.info_.id_); // ids increase with arrival
+    Insert(std::move(aRequest));
   }
 
   const WaitingRequest* Next() const override
@@ -73,16 +74,19 @@
   {
     if (const WaitingRequest* request = Find(aId)) {
       order_.erase(aId);
-      Drop(*request);
+      Erase(*request);
     }
   }
 
-  microseconds TeamWork(const RequestInfo& /*aInfo*/) const override
+  microseconds QueuedTeamCost(const RequestInfo& /*aInfo*/) const override
   {
-    return work_;
+    return queuedCost_;
   }
 
-  double TeamShare(const RequestInfo& /*aInfo*/) const override { return 1; }
+  double TeamWeightShare(const RequestInfo& /*aInfo*/) const override
+  {
+    return 1;
+  }
 
 private:
   std::set<std::uint64_t> order_;
@@ -98,35 +102,36 @@
 
   void Push(WaitingRequest aRequest) override
   {
-    Class& level = classes_[IndexOf(aRequest.info_.class_)];
-    Team& team = level.teams_[aRequest.info_.team_];
+    ClassState& classState = classes_[ClassIndex(aRequest.info_.class_)];
+    TeamState& team = classState.teams_[aRequest.info_.team_];
     if (team.order_.empty()) {
-      // A team that was idle starts at the present, so that it can't save up
-      // a claim to the whole fleet while it asks nothing.
+      // A team that was idle resumes at the current virtual time, so that it
+      // can't accumulate a claim to the whole fleet while it sends nothing.
       team.weight_ = WeightOf(aRequest.info_.team_);
-      team.tag_ = std::max(team.tag_, level.now_);
-      level.active_.emplace(team.tag_, aRequest.info_.team_);
-      level.weight_ += team.weight_;
+      team.startTag_ = std::max(team.startTag_, classState.virtualTime_);
+      classState.activeTeams_.emplace(team.startTag_, aRequest.info_.team_);
+      classState.weight_ += team.weight_;
     }
     team.order_.emplace(aRequest.info_.deadline_, aRequest.info_.id_);
-    team.work_ += aRequest.cost_;
-    level.work_ += aRequest.cost_;
-    Keep(std::move(aRequest));
+    team.queuedCost_ += aRequest.cost_;
+    classState.queuedCost_ += aRequest.cost_;
+    Insert(std::move(aRequest));
   }
 
   const WaitingRequest* Next() const override
   {
-    const Class* first = nullptr;
-    for (const Class& level : classes_) {
-      if (level.active_.empty()) {
+    const ClassState* first = nullptr;
+    for (const ClassState& classState : classes_) {
+      if (classState.activeTeams_.empty()) {
         continue;
       }
-      first = first == nullptr ? &level : first;
-      if (&level != first && level.credit_ >= HeadOf(level)->cost_) {
-        return HeadOf(level);
+      first = first == nullptr ? &classState : first;
+      if (&classState != first &&
+          classState.credit_ >= HeadRequest(classState)->cost_) {
+        return HeadRequest(classState);
       }
     }
-    return first == nullptr ? nullptr : HeadOf(*first);
+    return first == nullptr ? nullptr : HeadRequest(*first);
   }
 
   void Remove(std::uint64_t aId, bool aServed) override
@@ -135,40 +140,42 @@
     if (request == nullptr) {
       return;
     }
-    Class& level = classes_[IndexOf(request->info_.class_)];
+    ClassState& classState = classes_[ClassIndex(request->info_.class_)];
     const std::string name = request->info_.team_;
-    Team& team = level.teams_[name];
+    TeamState& team = classState.teams_[name];
     const microseconds cost = request->cost_;
-    level.active_.erase({ team.tag_, name });
+    classState.activeTeams_.erase({ team.startTag_, name });
     team.order_.erase({ request->info_.deadline_, aId });
-    team.work_ -= cost;
-    level.work_ -= cost;
+    team.queuedCost_ -= cost;
+    classState.queuedCost_ -= cost;
     if (aServed) {
-      level.now_ = std::max(level.now_, team.tag_);
-      team.tag_ += static_cast<double>(cost.count()) / team.weight_;
-      GiveCredit(level, cost);
+      classState.virtualTime_ =
+        std::max(classState.virtualTime_, team.startTag_);
+      team.startTag_ += static_cast<double>(cost.count()) / team.weight_;
+      UpdateCredits(classState, cost);
     }
     if (team.order_.empty()) {
-      level.weight_ -= team.weight_;
+      classState.weight_ -= team.weight_;
     } else {
-      level.active_.emplace(team.tag_, name);
+      classState.activeTeams_.emplace(team.startTag_, name);
     }
-    Drop(*request);
-    if (team.order_.empty() && team.tag_ <= level.now_) {
-      level.teams_.erase(name);
+    Erase(*request);
+    if (team.order_.empty() && team.startTag_ <= classState.virtualTime_) {
+      classState.teams_.erase(name);
     }
   }
 
-  microseconds TeamWork(const RequestInfo& aInfo) const override
+  microseconds QueuedTeamCost(const RequestInfo& aInfo) const override
   {
-    const Class& own = classes_[IndexOf(aInfo.class_)];
+    const ClassState& own = classes_[ClassIndex(aInfo.class_)];
     const auto team = own.teams_.find(aInfo.team_);
-    return team == own.teams_.end() ? microseconds(0) : team->second.work_;
+    return team == own.teams_.end() ? microseconds(0)
+                                    : team->second.queuedCost_;
   }
 
-  double TeamShare(const RequestInfo& aInfo) const override
+  double TeamWeightShare(const RequestInfo& aInfo) const override
   {
-    const Class& own = classes_[IndexOf(aInfo.class_)];
+    const ClassState& own = classes_[ClassIndex(aInfo.class_)];
     const auto team = own.teams_.find(aInfo.team_);
     const bool known = team != own.teams_.end() && !team->second.order_.empty();
     const double weight = WeightOf(aInfo.team_);
@@ -176,28 +183,28 @@
   }
 
 private:
-  struct Team
+  struct TeamState
   {
     std::set<std::pair<TimePoint, std::uint64_t>> order_;
-    microseconds work_{ 0 };
+    microseconds queuedCost_{ 0 };
     double weight_ = 1;
-    double tag_ = 0; // virtual time of the team's next turn
+    double startTag_ = 0; // virtual start time of the team's next request
   };
 
-  struct Class
+  struct ClassState
   {
-    std::map<std::string, Team> teams_;
-    std::set<std::pair<double, std::string>> active_;
-    microseconds work_{ 0 };
+    std::map<std::string, TeamState> teams_;
+    std::set<std::pair<double, std::string>> activeTeams_;
+    microseconds queuedCost_{ 0 };
     microseconds credit_{ 0 };
-    double weight_ = 0; // of the active teams
-    double now_ = 0;    // virtual time
+    double weight_ = 0; // sum over the active teams
+    double virtualTime_ = 0;
   };
 
-  const WaitingRequest* HeadOf(const Class& aClass) const
+  const WaitingRequest* HeadRequest(const ClassState& aClass) const
   {
-    const Team& team =
-      aClass.teams_.find(aClass.active_.begin()->second)->second;
+    const TeamState& team =
+      aClass.teams_.find(aClass.activeTeams_.begin()->second)->second;
     return Find(team.order_.begin()->second);
   }
 
@@ -207,23 +214,25 @@
     return found == options_.weights_.end() ? 1.0 : found->second;
   }
 
-  // What one class is served earns the waiting others their floor.
-  void GiveCredit(Class& aServed, microseconds aCost)
+  // Charges the cost to the served class, and credits the other classes that
+  // have queued requests with their minimum share of it.
+  void UpdateCredits(ClassState& aServed, microseconds aCost)
   {
-    for (Class& level : classes_) {
-      if (&level == &aServed) {
-        level.credit_ = std::max(microseconds(0), level.credit_ - aCost);
-      } else if (level.active_.empty()) {
-        level.credit_ = microseconds(0);
+    for (ClassState& classState : classes_) {
+      if (&classState == &aServed) {
+        classState.credit_ =
+          std::max(microseconds(0), classState.credit_ - aCost);
+      } else if (classState.activeTeams_.empty()) {
+        classState.credit_ = microseconds(0);
       } else {
-        level.credit_ += microseconds(static_cast<std::int64_t>(
-          static_cast<double>(aCost.count()) * options_.floor_));
+        classState.credit_ += microseconds(static_cast<std::int64_t>(
+          static_cast<double>(aCost.count()) * options_.minClassShare_));
       }
     }
   }
 
   FairQueueOptions options_;
-  std::array<Class, kClasses> classes_;
+  std::array<ClassState, kClassCount> classes_;
 };
 
 } // namespace
--- a/src/core/gooseberrylift-retry-budget.cc
+++ b/src/core/gooseberrylift-retry-budget.cc
@@ -4,15 +4,16 @@
 
 namespace gooseberrylift {
 
-void RetryBudget::OnFirstTry(const std::string& aService)
+void RetryBudget::OnFirstAttempt(const std::string& aService)
 {
-  double& tokens = Of(aService);
-  tokens = std::min(options_.most_, tokens + options_.share_);
+  double& tokens = TokensOf(aService);
+  tokens =
+    std::min(options_.capacity_, tokens + options_.tokensPerFirstAttempt_);
 }
 
-bool RetryBudget::TakeRetry(const std::string& aService)
+bool RetryBudget::TryTakeRetry(const std::string& aService)
 {
-  double& tokens = Of(aService);
+  double& tokens = TokensOf(aService);
   if (tokens < 1) {
     return false;
   }
@@ -20,9 +21,9 @@
   return true;
 }
 
-double& RetryBudget::Of(const std::string& aService)
+double& RetryBudget::TokensOf(const std::string& aService)
 {
-  return tokens_.try_emplace(aService, options_.most_).first->second;
+  return tokens_.try_emplace(aService, options_.capacity_).first->second;
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-scheduler.cc
+++ b/src/core/gooseberrylift-scheduler.cc
@@ -12,8 +12,8 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Ejections end and lanes change at this pace even without a load report.
-constexpr milliseconds kRefresh{ 250 };
+// Interval at which ejections and lanes are updated without a load report.
+constexpr milliseconds kRefreshInterval{ 250 };
 
 constexpr std::array kClasses = { ServiceClass::kUrgent,
                                   ServiceClass::kNormal,
@@ -25,12 +25,12 @@
          aInfo.excluded_.end();
 }
 
-microseconds Between(TimePoint aFrom, TimePoint aTo)
+microseconds Elapsed(TimePoint aFrom, TimePoint aTo)
 {
   return std::chrono::duration_cast<microseconds>(aTo - aFrom);
 }
 
-const PlacementKind* KindOf(const std::string& aName)
+const PlacementKind* PlacementKindOf(const std::string& aName)
 {
   const PlacementKind* kind = FindPlacement(aName);
   return kind == nullptr ? FindPlacement("least-work") : kind;
@@ -40,29 +40,32 @@
 
 Scheduler::Scheduler(Options aOptions)
   : options_(std::move(aOptions))
-  , kind_(KindOf(options_.placement_))
-  , placement_(MakePlacement(kind_->name_, options_.zone_, options_.seed_))
+  , placementKind_(PlacementKindOf(options_.placement_))
+  , placement_(
+      MakePlacement(placementKind_->name_, options_.zone_, options_.seed_))
   , cost_(CostModel::Options{})
-  , lanes_(LaneSplit::Options{})
-  , retries_(RetryBudget::Options{})
+  , laneSplit_(LaneSplit::Options{})
+  , retryBudget_(RetryBudget::Options{})
 {
-  for (Lane& lane : queues_) {
-    lane.queue_ = Fair() ? MakeFairQueue({ .weights_ = options_.weights_ })
-                         : MakeFifoQueue();
+  for (Lane& lane : requestLanes_) {
+    lane.queue_ = IsAdaptive()
+                    ? MakeFairQueue({ .weights_ = options_.weights_ })
+                    : MakeFifoQueue();
     lane.admission_.assign(std::size(kClasses),
-                           Admission({ .seed_ = options_.seed_ }));
+                           AdmissionController({ .seed_ = options_.seed_ }));
   }
 }
 
 void Scheduler::SetEndpoints(std::vector<EndpointView> aViews, TimePoint aNow)
 {
   std::map<std::string, std::unique_ptr<EndpointSlot>> next;
-  largestMemory_ = 0;
+  largestKvCapacity_ = 0;
   bool known = true;
   for (EndpointView& view : aViews) {
     const std::string name = view.name_;
     known = known && view.load_.kvTokensTotal_ > 0;
-    largestMemory_ = std::max(largestMemory_, view.load_.kvTokensTotal_);
+    largestKvCapacity_ =
+      std::max(largestKvCapacity_, view.load_.kvTokensTotal_);
     const auto old = slots_.find(name);
     if (old == slots_.end()) {
       next.emplace(name, std::make_unique<EndpointSlot>(std::move(view)));
@@ -71,23 +74,29 @@
     old->second->Update(std::move(view), cost_, aNow);
     next.emplace(name, std::move(old->second));
   }
-  largestMemory_ = known ? largestMemory_ : 0;
+  largestKvCapacity_ = known ? largestKvCapacity_ : 0;
   slots_ = std::move(next);
-  RefreshLive();
-  RefreshEjections(aNow);
+  RebuildLiveEndpoints();
+  RefreshEjectionsAndLanes(aNow);
   OnTick(aNow);
 }
 
 void Scheduler::OnRequest(const RequestInfo& aInfo, TimePoint aNow)
 {
-  const milliseconds soon = queues_[0].Of(aInfo.class_).RetryAfter({});
+  const milliseconds retryAfter =
+    requestLanes_[0].AdmissionFor(aInfo.class_).RetryAfter({});
   if (aInfo.deadline_ <= aNow) {
-    Refuse(aInfo.id_, ResultCode::kDeadlineExceeded, "no time left", soon);
+    Refuse(aInfo.id_,
+           ResultCode::kDeadlineExceeded,
+           "the deadline has already passed",
+           retryAfter);
     return;
   }
   if (!HasCandidate(aInfo, true)) {
-    Refuse(
-      aInfo.id_, ResultCode::kNoEndpoint, "no live endpoint is left", soon);
+    Refuse(aInfo.id_,
+           ResultCode::kNoEndpoint,
+           "no untried live endpoint in the pool",
+           retryAfter);
     return;
   }
   if (!FitsMemory(aInfo)) {
@@ -97,36 +106,40 @@
   }
   const bool first = aInfo.IsFirstTry();
   if (first) {
-    retries_.OnFirstTry(aInfo.service_);
-  } else if (Fair() && !aInfo.freeRetry_ &&
-             !retries_.TakeRetry(aInfo.service_)) {
-    Refuse(aInfo.id_, ResultCode::kRetryBudgetSpent, {}, soon);
+    retryBudget_.OnFirstAttempt(aInfo.service_);
+  } else if (IsAdaptive() && !aInfo.freeRetry_ &&
+             !retryBudget_.TryTakeRetry(aInfo.service_)) {
+    Refuse(aInfo.id_, ResultCode::kRetryBudgetSpent, {}, retryAfter);
     return;
   }
   WaitingRequest request{ .info_ = aInfo,
                           .cost_ = CostOf(aInfo),
                           .latestStart_ = aInfo.deadline_,
                           .arrived_ = aNow };
-  lanes_.OnRequest(lanes_.IsLong(aInfo.promptTokens_), request.cost_, aNow);
-  if (Fair()) {
-    request.latestStart_ -= request.cost_ + cost_.Decode(aInfo.maxTokens_) +
-                            LaneOf(aInfo).Of(aInfo.class_).EngineWait();
+  laneSplit_.OnRequest(
+    laneSplit_.IsLong(aInfo.promptTokens_), request.cost_, aNow);
+  if (IsAdaptive()) {
+    request.latestStart_ -=
+      request.cost_ + cost_.Decode(aInfo.maxTokens_) +
+      LaneOf(aInfo).AdmissionFor(aInfo.class_).EngineWait();
     if (!Admit(request, aNow)) {
       return;
     }
   }
   Lane& lane = LaneOf(aInfo);
-  lane.Of(aInfo.class_).DrainOf(aInfo.team_, aNow).OnWaiting(true, aNow);
+  lane.AdmissionFor(aInfo.class_)
+    .DrainRateOf(aInfo.team_, aNow)
+    .OnWaiting(true, aNow);
   lane.queue_->Push(std::move(request));
-  Pump(aNow);
+  DispatchAll(aNow);
 }
 
 void Scheduler::OnCancelled(std::uint64_t aId, TimePoint aNow)
 {
-  for (Lane& lane : queues_) {
-    Unqueue(lane, aId, false, aNow);
+  for (Lane& lane : requestLanes_) {
+    Dequeue(lane, aId, false, aNow);
   }
-  Pump(aNow);
+  DispatchAll(aNow);
 }
 
 void Scheduler::OnFirstToken(std::uint64_t aId, TimePoint aNow)
@@ -135,14 +148,14 @@
   if (found == running_.end()) {
     return;
   }
-  Run& run = found->second;
+  RunningRequest& run = found->second;
   run.firstToken_ = aNow;
   const auto slot = slots_.find(run.endpoint_);
   if (slot != slots_.end()) {
-    slot->second->OnStarted(aId, aNow);
-    Learn(run, *slot->second, aNow);
+    slot->second->OnPrefillDone(aId, aNow);
+    RecordFirstToken(run, *slot->second, aNow);
   }
-  Pump(aNow);
+  DispatchAll(aNow);
 }
 
 void Scheduler::OnFinished(std::uint64_t aId,
@@ -153,50 +166,50 @@
   if (found == running_.end()) {
     return;
   }
-  const Run run = std::move(found->second);
+  const RunningRequest run = std::move(found->second);
   running_.erase(found);
   const bool started = run.firstToken_ != TimePoint{};
   if (started && aOutcome.succeeded_) {
-    cost_.OnDecode(run.info_.maxTokens_, Between(run.firstToken_, aNow));
+    cost_.OnDecode(run.info_.maxTokens_, Elapsed(run.firstToken_, aNow));
   }
   const auto slot = slots_.find(run.endpoint_);
   if (slot != slots_.end()) {
-    if (slot->second->IsPlain()) {
-      LearnCall(run, *slot->second, aOutcome, aNow);
+    if (slot->second->IsPlainService()) {
+      RecordServiceCall(run, *slot->second, aOutcome, aNow);
     }
-    slot->second->OnStarted(aId, aNow);
+    slot->second->OnPrefillDone(aId, aNow);
     slot->second->OnEnded(run.info_);
     if (aOutcome.endpointAtFault_) {
       slot->second->health_.OnFault(aNow);
-      RefreshEjections(aNow);
+      RefreshEjectionsAndLanes(aNow);
     }
   }
   if (aOutcome.endpointAtFault_ && !started) {
-    LearnTimeout(run, aNow);
+    RecordTimeout(run, aNow);
   }
-  Pump(aNow);
+  DispatchAll(aNow);
 }
 
 void Scheduler::OnTick(TimePoint aNow)
 {
-  for (Lane& lane : queues_) {
-    const WaitingRequest* request = lane.queue_->MostPressing();
+  for (Lane& lane : requestLanes_) {
+    const WaitingRequest* request = lane.queue_->NextToExpire();
     while (request != nullptr && request->latestStart_ <= aNow) {
       const std::uint64_t id = request->info_.id_;
       const microseconds wait = PredictWait(request->info_);
       Refuse(id,
-             Fair() ? ResultCode::kDeadlineUnreachable
-                    : ResultCode::kDeadlineExceeded,
-             "waited until the deadline came out of reach",
-             lane.Of(request->info_.class_).RetryAfter(wait));
-      Unqueue(lane, id, false, aNow);
-      request = lane.queue_->MostPressing();
+             IsAdaptive() ? ResultCode::kDeadlineUnreachable
+                          : ResultCode::kDeadlineExceeded,
+             "the deadline became unreachable while the request waited",
+             lane.AdmissionFor(request->info_.class_).RetryAfter(wait));
+      Dequeue(lane, id, false, aNow);
+      request = lane.queue_->NextToExpire();
     }
   }
-  if (aNow - refreshed_ >= kRefresh) {
-    RefreshEjections(aNow);
+  if (aNow - lastRefresh_ >= kRefreshInterval) {
+    RefreshEjectionsAndLanes(aNow);
   }
-  Pump(aNow);
+  DispatchAll(aNow);
 }
 
 std::vector<SchedulerAction> Scheduler::TakeActions()
@@ -206,32 +219,34 @@
 
 std::size_t Scheduler::Waiting() const
 {
-  return queues_[0].queue_->Size() + queues_[1].queue_->Size();
+  return requestLanes_[0].queue_->Size() + requestLanes_[1].queue_->Size();
 }
 
 bool Scheduler::IsLong(const RequestInfo& aInfo) const
 {
-  return Fair() && live_.size() > 1 && lanes_.IsLong(aInfo.promptTokens_);
+  return IsAdaptive() && liveEndpoints_.size() > 1 &&
+         laneSplit_.IsLong(aInfo.promptTokens_);
 }
 
 Scheduler::Lane& Scheduler::LaneOf(const RequestInfo& aInfo)
 {
-  return queues_[IsLong(aInfo) ? 1 : 0];
+  return requestLanes_[IsLong(aInfo) ? 1 : 0];
 }
 
-// Refuses at once what can't be answered in time, with a true reason.
+// Refuses a request at once if it can't finish in time, distinguishing a full
+// queue from a deadline that is too short even without one.
 bool Scheduler::Admit(const WaitingRequest& aRequest, TimePoint aNow)
 {
   const RequestInfo& info = aRequest.info_;
   Lane& lane = LaneOf(info);
-  Admission& admission = lane.Of(info.class_);
+  AdmissionController& admission = lane.AdmissionFor(info.class_);
   const bool empty = lane.queue_->Size() == 0;
-  // A second try was admitted before and goes first by its deadline.
+  // A retry was admitted before and is ordered early by its deadline.
   const bool first = info.IsFirstTry();
   const microseconds wait =
     empty || !first ? microseconds(0) : PredictWait(info);
-  const microseconds service = Between(aRequest.latestStart_, info.deadline_);
-  if (admission.Fits(wait, service, info.deadline_, aNow)) {
+  const microseconds service = Elapsed(aRequest.latestStart_, info.deadline_);
+  if (admission.MeetsDeadline(wait, service, info.deadline_, aNow)) {
     return true;
   }
   Refuse(info.id_,
@@ -244,12 +259,13 @@
 microseconds Scheduler::PredictWait(const RequestInfo& aInfo)
 {
   Lane& lane = LaneOf(aInfo);
-  return lane.Of(aInfo.class_)
-    .WaitFor(
-      aInfo.team_, lane.queue_->TeamWork(aInfo), lane.queue_->TeamShare(aInfo));
+  return lane.AdmissionFor(aInfo.class_)
+    .PredictDrainTime(aInfo.team_,
+                      lane.queue_->QueuedTeamCost(aInfo),
+                      lane.queue_->TeamWeightShare(aInfo));
 }
 
-void Scheduler::Unqueue(Lane& aLane,
+void Scheduler::Dequeue(Lane& aLane,
                         std::uint64_t aId,
                         bool aServed,
                         TimePoint aNow)
@@ -259,76 +275,78 @@
     return;
   }
   const RequestInfo info = request->info_;
-  DrainRate& drain = aLane.Of(info.class_).DrainOf(info.team_, aNow);
-  // What passed without a wait says nothing of how fast a wait ends.
+  DrainRate& drain =
+    aLane.AdmissionFor(info.class_).DrainRateOf(info.team_, aNow);
+  // A request that did not wait carries no information about the drain rate.
   if (aServed && aNow > request->arrived_) {
     drain.OnServed(request->cost_, aNow);
   }
   aLane.queue_->Remove(aId, aServed);
-  drain.OnWaiting(aLane.queue_->TeamWork(info).count() > 0, aNow);
+  drain.OnWaiting(aLane.queue_->QueuedTeamCost(info).count() > 0, aNow);
 }
 
 bool Scheduler::FitsMemory(const RequestInfo& aInfo) const
 {
-  return largestMemory_ == 0 ||
-         aInfo.promptTokens_ + aInfo.maxTokens_ <= largestMemory_;
+  return largestKvCapacity_ == 0 ||
+         aInfo.promptTokens_ + aInfo.maxTokens_ <= largestKvCapacity_;
 }
 
-bool Scheduler::HasCandidate(const RequestInfo& aInfo, bool aEjected) const
+bool Scheduler::HasCandidate(const RequestInfo& aInfo, bool aAllowEjected) const
 {
-  return std::any_of(
-    live_.begin(), live_.end(), [&](const EndpointSlot* aSlot) {
-      return (aEjected || !aSlot->ejected_) &&
-             !IsExcluded(aInfo, aSlot->view_.name_);
-    });
+  return std::any_of(liveEndpoints_.begin(),
+                     liveEndpoints_.end(),
+                     [&](const EndpointSlot* aSlot) {
+                       return (aAllowEjected || !aSlot->ejected_) &&
+                              !IsExcluded(aInfo, aSlot->view_.name_);
+                     });
 }
 
 bool Scheduler::IsEligible(const EndpointSlot& aSlot,
                            const RequestInfo& aInfo,
-                           bool aEjected,
+                           bool aAllowEjected,
                            TimePoint aNow) const
 {
   if (IsExcluded(aInfo, aSlot.view_.name_)) {
     return false;
   }
-  if (!Fair()) {
+  if (!IsAdaptive()) {
     return aSlot.outstanding_ < options_.maxConcurrency_;
   }
-  const double share = aSlot.health_.Share(aNow);
-  const int limit = aSlot.IsPlain()
+  const double share = aSlot.health_.TrafficShare(aNow);
+  const int limit = aSlot.IsPlainService()
                       ? std::min(options_.maxConcurrency_, aSlot.limit_.Limit())
                       : options_.maxConcurrency_;
   const int most = std::max(1, static_cast<int>(limit * share));
-  return (aEjected || !aSlot.ejected_) && aSlot.outstanding_ < most &&
+  return (aAllowEjected || !aSlot.ejected_) && aSlot.outstanding_ < most &&
          aSlot.HasMemory(aInfo);
 }
 
-void Scheduler::Pump(TimePoint aNow)
+void Scheduler::DispatchAll(TimePoint aNow)
 {
-  for (Lane& lane : queues_) {
-    PumpLane(lane, aNow);
+  for (Lane& lane : requestLanes_) {
+    DispatchLane(lane, aNow);
   }
 }
 
-void Scheduler::PumpLane(Lane& aLane, TimePoint aNow)
+void Scheduler::DispatchLane(Lane& aLane, TimePoint aNow)
 {
   const WaitingRequest* next = aLane.queue_->Next();
   while (next != nullptr) {
     const RequestInfo& info = next->info_;
-    // An ejected endpoint still beats a refusal when no other is left.
+    // Use ejected endpoints rather than refuse when there are no others.
     const bool ejected = !HasCandidate(info, false);
     const PlacementQuery query{
-      .info_ = info, .cost_ = next->cost_, .long_ = IsLong(info), .now_ = aNow
+      .info_ = info, .cost_ = next->cost_, .isLong_ = IsLong(info), .now_ = aNow
     };
     EndpointSlot* slot =
-      placement_->Choose(query, live_, [&](const EndpointSlot& aSlot) {
+      placement_->Choose(query, liveEndpoints_, [&](const EndpointSlot& aSlot) {
         return IsEligible(aSlot, info, ejected, aNow);
       });
     if (slot == nullptr) {
       break;
     }
     Start(*next, *slot, aNow);
-    Unqueue(aLane, info.id_, true, aNow);
+    Dequeue(aLane, info.id_, true, aNow);
     next = aLane.queue_->Next();
   }
 }
@@ -339,21 +357,22 @@
 {
   const RequestInfo& info = aRequest.info_;
   const microseconds backlog = aSlot.Backlog(aNow);
-  Run run{ .info_ = info,
-           .endpoint_ = aSlot.view_.name_,
-           .cost_ = aRequest.cost_,
-           .predicted_ = aRequest.cost_ + backlog,
-           .sent_ = aNow,
-           .alone_ = backlog.count() == 0 };
-  // Within a class the short prompts go first on the engine as well: a chunk
-  // of a long one waits for a few milliseconds, the reverse for seconds.
+  RunningRequest run{ .info_ = info,
+                      .endpoint_ = aSlot.view_.name_,
+                      .cost_ = aRequest.cost_,
+                      .predicted_ = aRequest.cost_ + backlog,
+                      .sent_ = aNow,
+                      .noBacklog_ = backlog.count() == 0 };
+  // Within a class, short prompts also go first on the engine: a long prompt
+  // then waits for a few milliseconds, where a short one would wait for
+  // seconds.
   const int priority = static_cast<int>(info.class_) * 2 +
-                       (lanes_.IsLong(info.promptTokens_) ? 1 : 0);
+                       (laneSplit_.IsLong(info.promptTokens_) ? 1 : 0);
   actions_.push_back(
     { .id_ = info.id_,
       .endpoint_ = run.endpoint_,
       .refusal_ = {},
-      .priority_ = Fair() ? priority : static_cast<int>(info.class_),
+      .priority_ = IsAdaptive() ? priority : static_cast<int>(info.class_),
       .firstTokenLimit_ = FirstTokenLimit(run, aNow) });
   aSlot.OnSent(info, aRequest.cost_, aNow);
   running_.emplace(info.id_, std::move(run));
@@ -365,18 +384,20 @@
     return;
   }
   options_ = std::move(aOptions);
-  kind_ = KindOf(options_.placement_);
-  placement_ = MakePlacement(kind_->name_, options_.zone_, options_.seed_);
+  placementKind_ = PlacementKindOf(options_.placement_);
+  placement_ =
+    MakePlacement(placementKind_->name_, options_.zone_, options_.seed_);
   std::vector<WaitingRequest> waiting;
-  for (Lane& lane : queues_) {
+  for (Lane& lane : requestLanes_) {
     while (const WaitingRequest* next = lane.queue_->Next()) {
       waiting.push_back(*next);
       lane.queue_->Remove(next->info_.id_, false);
     }
-    lane.queue_ = Fair() ? MakeFairQueue({ .weights_ = options_.weights_ })
-                         : MakeFifoQueue();
+    lane.queue_ = IsAdaptive()
+                    ? MakeFairQueue({ .weights_ = options_.weights_ })
+                    : MakeFifoQueue();
   }
-  RefreshLive();
+  RebuildLiveEndpoints();
   for (WaitingRequest& request : waiting) {
     Lane& lane = LaneOf(request.info_);
     lane.queue_->Push(std::move(request));
--- a/src/core/gooseberrylift-team-limiter.cc
+++ b/src/core/gooseberrylift-team-limiter.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A bucket holds this much of the share, so that a burst of one poll passes.
+// Bucket capacity in seconds of the share; admits the burst of one poll.
 constexpr double kBurstSeconds = 0.5;
 
 double Seconds(std::chrono::steady_clock::duration aTime)
@@ -40,10 +40,10 @@
 {
   for (const Digest& digest : aDigests) {
     Peer& peer = peers_[digest.host_];
-    if (peer.heard_ != TimePoint{} && digest.sequence_ == peer.sequence_) {
+    if (peer.lastHeard_ != TimePoint{} && digest.sequence_ == peer.sequence_) {
       continue;
     }
-    peer.heard_ = aNow;
+    peer.lastHeard_ = aNow;
     peer.sequence_ = digest.sequence_;
     for (auto& [team, samples] : peer.demand_) {
       samples.push_back({ .at_ = aNow, .value_ = 0 });
@@ -56,7 +56,7 @@
       samples.back().value_ = demand.tokensPerSecond_;
     }
     for (auto& [team, samples] : peer.demand_) {
-      // The newest sample from before the window still held inside it.
+      // Keep the newest sample before the window: it was valid when it began.
       while (samples.size() > 1 && samples[1].at_ <= aNow - options_.window_) {
         samples.pop_front();
       }
@@ -66,7 +66,7 @@
     });
   }
   std::erase_if(peers_, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heard_ > options_.silent_;
+    return aNow - aEntry.second.lastHeard_ > options_.peerTimeout_;
   });
 }
 
@@ -81,17 +81,17 @@
   Team& team = teams_[aTeam];
   Decay(team, aNow);
   const auto tokens = static_cast<double>(aTokens);
-  team.demand_ += tokens / Seconds(options_.memory_);
-  const double since = std::min(1.0, Seconds(aNow - team.filled_));
-  team.filled_ = aNow;
-  team.balance_ =
-    std::min(share * kBurstSeconds, team.balance_ + share * since);
-  // A prompt may be longer than the bucket: it passes while the balance is
-  // above zero and leaves a debt, which the next ones wait for.
-  if (team.balance_ <= 0) {
+  team.demand_ += tokens / Seconds(options_.demandDecayTime_);
+  const double elapsedSeconds = std::min(1.0, Seconds(aNow - team.lastRefill_));
+  team.lastRefill_ = aNow;
+  team.bucketTokens_ = std::min(share * kBurstSeconds,
+                                team.bucketTokens_ + share * elapsedSeconds);
+  // A prompt may exceed the bucket capacity, so it is admitted while the bucket
+  // is not empty. The bucket may go negative, which delays later requests.
+  if (team.bucketTokens_ <= 0) {
     return false;
   }
-  team.balance_ -= tokens;
+  team.bucketTokens_ -= tokens;
   return true;
 }
 
@@ -124,15 +124,15 @@
     if (found == peer.demand_.end()) {
       continue;
     }
-    double most = 0;
+    double peak = 0;
     for (const Sample& sample : found->second) {
-      most = std::max(most, sample.value_);
+      peak = std::max(peak, sample.value_);
     }
-    others += most;
+    others += peak;
   }
   const auto team = teams_.find(aTeam);
   double own = 0;
-  // Before the window is full nobody else can have counted this host yet.
+  // Until the window is full, other hosts may not have seen this host's demand.
   if (team != teams_.end() && !team->second.published_.empty() &&
       team->second.published_.front().at_ <= aNow - options_.window_) {
     own = team->second.published_.front().value_;
@@ -141,16 +141,16 @@
     }
   }
   const auto hosts = static_cast<double>(peers_.size() + 1);
-  const double part = own > 0 ? own / (own + others) : 0;
-  return limit->second *
-         (part * (1 - options_.floorShare_) + 2 * options_.floorShare_ / hosts);
+  const double demandShare = own > 0 ? own / (own + others) : 0;
+  return limit->second * (demandShare * (1 - options_.floorShare_) +
+                          2 * options_.floorShare_ / hosts);
 }
 
 void TeamLimiter::Decay(Team& aTeam, TimePoint aNow) const
 {
-  aTeam.demand_ *=
-    std::exp(-Seconds(aNow - aTeam.seen_) / Seconds(options_.memory_));
-  aTeam.seen_ = aNow;
+  aTeam.demand_ *= std::exp(-Seconds(aNow - aTeam.lastDecay_) /
+                            Seconds(options_.demandDecayTime_));
+  aTeam.lastDecay_ = aNow;
 }
 
 } // namespace gooseberrylift
