--- a/test/core/gooseberrylift-attempts-test.cc
+++ b/test/core/gooseberrylift-attempts-test.cc
@@ -6,9 +6,9 @@
 
 TEST_GROUP(AttemptsTest){};
 
-// The first endpoint took the request and broke; the second could not be
-// reached and truly says "not run". The caller must not hear that, since the
-// first may have run it.
+// The first endpoint received the request and failed; the second was
+// unreachable and reports "not run". The caller must not receive that state,
+// because the first endpoint may have run the request.
 TEST(AttemptsTest, NeverSaysNotRunAfterAnEndpointTookTheRequest)
 {
   Attempts attempts;
--- a/test/core/gooseberrylift-decision-test.cc
+++ b/test/core/gooseberrylift-decision-test.cc
@@ -1,4 +1,4 @@
-// The load patterns of the decision bench, judged by what callers receive.
+// Runs the load patterns of the decision bench and checks what callers receive.
 
 #include "bench/gooseberrylift-bench-report.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr const char* kOurs = "least-work";
+constexpr const char* kAdaptive = "least-work";
 constexpr const char* kBaseline = "fcfs-least-outstanding";
 constexpr std::uint64_t kSeed = 1;
 
@@ -27,7 +27,8 @@
   }
 };
 
-Result Play(const std::string& aPattern, const std::string& aStrategy = kOurs)
+Result RunScenario(const std::string& aPattern,
+                   const std::string& aStrategy = kAdaptive)
 {
   Result result;
   result.records_ = RunPattern(
@@ -60,128 +61,134 @@
 
 TEST_GROUP(DecisionTest){};
 
-// Ten times the usual rate for five seconds. Without admission the queue holds
-// more work than the deadlines allow, engines work for callers who have left,
-// and room state waits behind summaries.
+// A burst of ten times the normal rate for five seconds. Without admission
+// control the queue holds more work than the deadlines allow, engines work for
+// callers that have disconnected, and room-state requests wait behind
+// summaries.
 TEST(DecisionTest, KeepsRoomStateFastInABurst)
 {
-  const Result ours = Play("a");
-  CHECK_TRUE(ours.summary_.MissShare() < 0.001);
-  CHECK_TRUE(ours.P99(kShorts) < 1000);
-  CHECK_TRUE(AnsweredShare(ours, ServiceClass::kUrgent) > 0.99);
+  const Result adaptive = RunScenario("a");
+  CHECK_TRUE(adaptive.summary_.MissShare() < 0.001);
+  CHECK_TRUE(adaptive.P99(kShorts) < 1000);
+  CHECK_TRUE(AnsweredShare(adaptive, ServiceClass::kUrgent) > 0.99);
 }
 
-// One team asks eight times its share, which drives the fleet past its
-// capacity. First come first served lets all wait alike; callers of the small
-// teams would see their first token seconds later for another team's sake.
+// One team sends eight times its share, which exceeds the capacity of the
+// fleet. In first-come, first-served order the small teams would receive their
+// first tokens seconds later because of the other team.
 TEST(DecisionTest, KeepsAHotTeamFromSlowingSmallTeams)
 {
-  const Result alone = Play("b0");
-  const Result beside = Play("b");
+  const Result alone = RunScenario("b0");
+  const Result beside = RunScenario("b");
   CHECK_TRUE(beside.summary_.MissShare() < 0.001);
   const Selects smallShorts = [](const Record& aRecord) {
     return IsSmallTeam(aRecord) && aRecord.promptTokens_ <= 4000;
   };
-  // The goal is 1.2; 1.22 is reached (docs/DECISIONS.md).
+  // The target is 1.2; the scheduler reaches 1.22 (docs/DECISIONS.md).
   CHECK_TRUE(beside.P99(smallShorts) < 1.25 * alone.P99(smallShorts));
   for (const Record& record : beside.records_) {
     CHECK_TRUE(!IsSmallTeam(record) || record.code_ == ResultCode::kOk);
   }
 }
 
-// One engine turns five times slower and one accepts and never answers. A
-// caller placed there would wait until its deadline; here the attempt is given
-// up on, tried elsewhere, and the engine gets no more work.
+// One engine becomes five times slower and one accepts requests but never
+// answers. Without a first-token time-out, a request there would wait until its
+// deadline. The attempt must time out and be retried elsewhere, and the engine
+// must receive no more requests.
 TEST(DecisionTest, WorksAroundASlowAndAHangingEngine)
 {
-  const Result sound = Play("f0.5");
-  const Result ours = Play("d");
-  CHECK_TRUE(ours.summary_.MissShare() < 0.001);
-  CHECK_TRUE(ours.P99(kShorts) < 1.25 * sound.P99(kShorts));
+  const Result sound = RunScenario("f0.5");
+  const Result adaptive = RunScenario("d");
+  CHECK_TRUE(adaptive.summary_.MissShare() < 0.001);
+  CHECK_TRUE(adaptive.P99(kShorts) < 1.25 * sound.P99(kShorts));
 }
 
-// Reviews of half a million tokens and more run among room state. A short
-// prompt that meets one on its engine waits for its chunk, or for its memory.
+// Reviews of half a million tokens and more run alongside room-state requests.
+// A short prompt on the same engine would wait for a prefill chunk of the
+// review, or for memory.
 TEST(DecisionTest, KeepsRoomStateFastBesideReviews)
 {
-  const Result without = Play("e0");
-  const Result with = Play("e");
-  const Result baseline = Play("e", kBaseline);
+  const Result without = RunScenario("e0");
+  const Result with = RunScenario("e");
+  const Result baseline = RunScenario("e", kBaseline);
   CHECK_TRUE(with.summary_.MissShare() < 0.001);
   CHECK_TRUE(with.P99(kShorts) < 1.25 * without.P99(kShorts));
   CHECK_TRUE(5 * with.P99(kShorts) < baseline.P99(kShorts));
   CHECK_TRUE(with.P99(kLongs) < 1.1 * baseline.P99(kLongs));
 }
 
-TEST(DecisionTest, KeepsLongPromptsNearTheBaselineAtFourFifths)
+TEST(DecisionTest, KeepsLongPromptsNearTheBaselineAt80PercentLoad)
 {
-  const Result baseline = Play("f0.8", kBaseline);
-  const Result ours = Play("f0.8");
-  CHECK_TRUE(ours.P99(kLongs) < 1.1 * baseline.P99(kLongs));
-  LONGS_EQUAL(0, ours.summary_.refused_);
+  const Result baseline = RunScenario("f0.8", kBaseline);
+  const Result adaptive = RunScenario("f0.8");
+  CHECK_TRUE(adaptive.P99(kLongs) < 1.1 * baseline.P99(kLongs));
+  LONGS_EQUAL(0, adaptive.summary_.refused_);
 }
 
-// Half as much again, and three times, of what the engines can do. Work for an
-// answer that comes too late is lost, so the useful work must not fall; no
-// class may be shut out; and who is refused is told so at once.
+// Load of 1.5 and 3 times the capacity. Work on responses that miss their
+// deadline is wasted, so goodput must not drop. No service class may be
+// starved, and requests that can't finish in time must be refused at once.
 TEST(DecisionTest, KeepsGoodputAndEveryClassInOverload)
 {
-  const double best = std::max(Play("f1.0").summary_.goodput_,
-                               Play("f1.0", kBaseline).summary_.goodput_);
+  const double best =
+    std::max(RunScenario("f1.0").summary_.goodput_,
+             RunScenario("f1.0", kBaseline).summary_.goodput_);
   for (const char* pattern : { "f1.5", "f3" }) {
-    const Result ours = Play(pattern);
-    CHECK_TRUE(ours.summary_.goodput_ > 0.9 * best);
-    CHECK_TRUE(AnsweredShare(ours, ServiceClass::kUrgent) > 0.9);
-    CHECK_TRUE(AnsweredShare(ours, ServiceClass::kNormal) > 0.1);
-    CHECK_TRUE(AnsweredShare(ours, ServiceClass::kBatch) > 0.1);
-    // At three times the capacity 0.1% is not reached (docs/DECISIONS.md).
-    CHECK_TRUE(ours.summary_.MissShare() < 0.003);
+    const Result adaptive = RunScenario(pattern);
+    CHECK_TRUE(adaptive.summary_.goodput_ > 0.9 * best);
+    CHECK_TRUE(AnsweredShare(adaptive, ServiceClass::kUrgent) > 0.9);
+    CHECK_TRUE(AnsweredShare(adaptive, ServiceClass::kNormal) > 0.1);
+    CHECK_TRUE(AnsweredShare(adaptive, ServiceClass::kBatch) > 0.1);
+    // At three times the capacity, 0.1% is not met (docs/DECISIONS.md).
+    CHECK_TRUE(adaptive.summary_.MissShare() < 0.003);
   }
 }
 
-// Half of the engines vanish with what they run and return empty later. The
-// rest must not be buried under second tries, nor the returned ones flooded.
-TEST(DecisionTest, OutlivesTheLossOfHalfTheEngines)
+// Half of the engines fail with their running requests and later restart empty.
+// Retries must not overload the remaining engines, nor new requests the
+// restarted ones.
+TEST(DecisionTest, SurvivesTheLossOfHalfTheEngines)
 {
-  const Result ours = Play("g");
-  CHECK_TRUE(ours.summary_.MissShare() < 0.003);
-  CHECK_TRUE(ours.P99(kShorts) < 100);
+  const Result adaptive = RunScenario("g");
+  CHECK_TRUE(adaptive.summary_.MissShare() < 0.003);
+  CHECK_TRUE(adaptive.P99(kShorts) < 100);
 }
 
-// Load reports come late. Hosts that believe them send to the same idle engine
-// until the next report; then all turn to another.
+// Load reports are delayed. Hosts that rely on them alone all send to the same
+// idle engine until the next report, and then all switch to another.
 TEST(DecisionTest, DoesNotHerdOnStaleReports)
 {
-  const Result fresh = Play("h0.2");
-  const Result stale = Play("h5");
+  const Result fresh = RunScenario("h0.2");
+  const Result stale = RunScenario("h5");
   CHECK_TRUE(stale.P99(kShorts) < 1.3 * fresh.P99(kShorts));
   CHECK_TRUE(stale.P99(Length(4001, 99'999)) <
              1.3 * fresh.P99(Length(4001, 99'999)));
 }
 
-// Callers send each failure again, twice, while a fifth of the engines is gone
-// and the rest is overloaded. Load on engines must not grow with the failures.
+// Callers retry each failed request twice while a fifth of the engines is down
+// and the rest is overloaded. Load on the engines must not grow with the
+// failures.
 TEST(DecisionTest, KeepsARetryStormOffTheEngines)
 {
-  const Result ours = Play("i");
+  const Result adaptive = RunScenario("i");
   std::size_t started = 0;
-  for (const Record& record : ours.records_) {
+  for (const Record& record : adaptive.records_) {
     started += record.started_ ? 1 : 0;
   }
-  CHECK_TRUE(static_cast<double>(ours.summary_.dispatches_) <
+  CHECK_TRUE(static_cast<double>(adaptive.summary_.dispatches_) <
              1.1 * static_cast<double>(started));
-  CHECK_TRUE(ours.summary_.MissShare() < 0.003);
+  CHECK_TRUE(adaptive.summary_.MissShare() < 0.003);
 }
 
-// A request that is refused gets its answer at once and not near its deadline,
-// and the times to come back are spread, so that the refused of one moment do
-// not return in one moment.
-TEST(DecisionTest, RefusesAtOnceWithSpreadTimesToReturn)
+// A refusal must be sent immediately rather than near the deadline, and the
+// Retry-After times must be spread, so that callers refused together do not
+// retry together.
+TEST(DecisionTest, RefusesImmediatelyWithSpreadRetryAfterTimes)
 {
-  const Result ours = Play("f3");
+  const Result adaptive = RunScenario("f3");
   std::set<std::int64_t> times;
   std::size_t refused = 0;
-  for (const Record& record : ours.records_) {
+  for (const Record& record : adaptive.records_) {
     if (record.code_ != ResultCode::kQueueFull) {
       continue;
     }
@@ -196,8 +203,8 @@
 
 TEST(DecisionTest, GivesTheSameRecordsForTheSameSeed)
 {
-  const Result first = Play("d");
-  const Result second = Play("d");
+  const Result first = RunScenario("d");
+  const Result second = RunScenario("d");
   LONGS_EQUAL(first.records_.size(), second.records_.size());
   DOUBLES_EQUAL(first.summary_.goodput_, second.summary_.goodput_, 0);
   DOUBLES_EQUAL(first.P99(kLongs), second.P99(kLongs), 0);
--- a/test/core/gooseberrylift-endpoint-book-test.cc
+++ b/test/core/gooseberrylift-endpoint-book-test.cc
@@ -27,13 +27,14 @@
         return view.state_;
       }
     }
-    FAIL("the endpoint is not in the book");
+    FAIL("the registry has no endpoint of this name");
     return EndpointState::kDead;
   }
 };
 
-// The list lags, so it may show an endpoint as live again after it said that
-// it leaves. If that brought it back, new work would go to it and be cut.
+// The list lags, so it may show an endpoint as live after the endpoint reported
+// that it is leaving. If the endpoint became live again, new requests would be
+// sent to it and interrupted.
 TEST(EndpointBookTest, KeepsAnIncarnationLeavingWhenTheListLags)
 {
   book_.OnList({ Listed("e", 1) }, now_);
@@ -62,18 +63,18 @@
   CHECK(StateOf("e") == EndpointState::kLive);
 }
 
-// The host list answers, but with nothing in it. If that emptied the pool,
-// every request would be refused until the list recovered.
-TEST(EndpointBookTest, KeepsItsEndpointsWhenTheListComesEmpty)
+// The host list is served but empty. If that emptied the pool, every request
+// would be refused until the list recovered.
+TEST(EndpointBookTest, KeepsItsEndpointsWhenTheListIsEmpty)
 {
   book_.OnList({ Listed("e", 1) }, now_);
   CHECK_FALSE(book_.OnList({}, now_));
   LONGS_EQUAL(1, book_.Views().size());
 }
 
-// The list comes cut short. What still answers must stay, or half of a pool
-// would be overloaded; what is also silent goes.
-TEST(EndpointBookTest, DropsFromAShortListOnlyWhatIsSilentToo)
+// The list is truncated. Endpoints that still answer must stay, or half of the
+// pool would be overloaded; those that are also silent must be removed.
+TEST(EndpointBookTest, DropsOnlySilentEndpointsMissingFromATruncatedList)
 {
   book_.OnList({ Listed("e", 1), Listed("f", 1), Listed("g", 1) }, now_);
   for (int poll = 0; poll < 3; ++poll) {
@@ -87,10 +88,10 @@
   LONGS_EQUAL(1, book_.Views().size());
 }
 
-// A peer was refused by an endpoint that leaves. New work from here would be
-// refused too, so its word is enough; said of an earlier start it means
-// nothing.
-TEST(EndpointBookTest, BelievesAPeerThatAnEndpointLeaves)
+// A leaving endpoint refused a request of a peer and would refuse this host as
+// well, so the peer's digest is sufficient. A digest about an earlier
+// incarnation must be ignored.
+TEST(EndpointBookTest, AcceptsAPeersReportThatAnEndpointIsLeaving)
 {
   book_.OnList({ Listed("e", 2), Listed("f", 2) }, now_);
   book_.OnPeerWord(
@@ -103,9 +104,9 @@
   CHECK(StateOf("f") == EndpointState::kLive);
 }
 
-// A peer that is cut off says that all endpoints are dead. While they answer
-// here, that must not take a single one away.
-TEST(EndpointBookTest, TakesAPeersDeathNoticeOnlyAsADoubt)
+// A partitioned peer reports all endpoints as dead. No endpoint may be lost
+// while it still answers this host.
+TEST(EndpointBookTest, CountsAPeersDeadReportAsOneFailure)
 {
   const EndpointDigest dead{ .name_ = "e",
                              .incarnation_ = 1,
--- a/test/core/gooseberrylift-scheduler-test.cc
+++ b/test/core/gooseberrylift-scheduler-test.cc
@@ -67,14 +67,15 @@
   }
 }
 
-// Half of the engines die under thousands of streams. Their callers already
-// have tokens; were each charged to the budget, most would be cut with live
-// engines left. A second try of a request that gave nothing is still bounded.
+// Half of the engines fail while serving thousands of streams whose callers
+// already have tokens. If each resumed stream were charged to the retry budget,
+// most would be cut although live engines remain. Retries of requests that
+// returned nothing must still be limited.
 TEST(SchedulerTest, ChargesNoBudgetForAStreamThatGoesOn)
 {
   Scheduler scheduler({ .maxConcurrency_ = 1000 });
   scheduler.SetEndpoints(Engines(3), now_);
-  const auto refusedOf = [&](bool aFree) {
+  const auto countBudgetRefusals = [&](bool aFree) {
     int refused = 0;
     for (int index = 0; index < 100; ++index) {
       RequestInfo request = Request(100);
@@ -88,18 +89,18 @@
     }
     return refused;
   };
-  LONGS_EQUAL(0, refusedOf(true));
-  CHECK(refusedOf(false) >= 89);
+  LONGS_EQUAL(0, countBudgetRefusals(true));
+  CHECK(countBudgetRefusals(false) >= 89);
 }
 
-// A stream under way waits for a new engine and forgets which it had tried.
-// Were it then taken for a first try, each wait would refill the budget, and a
-// storm could feed on it.
+// A running stream that waits for another engine clears the list of engines it
+// tried. If it counted as a first attempt, each wait would refill the retry
+// budget and allow a retry storm.
 TEST(SchedulerTest, RefillsNoBudgetForAStreamThatForgotItsEngines)
 {
   Scheduler scheduler({ .maxConcurrency_ = 1000 });
   scheduler.SetEndpoints(Engines(3), now_);
-  const auto refusedOf = [&](bool aFree, int aCount) {
+  const auto countBudgetRefusals = [&](bool aFree, int aCount) {
     int refused = 0;
     for (int index = 0; index < aCount; ++index) {
       RequestInfo request = Request(100);
@@ -115,13 +116,13 @@
     }
     return refused;
   };
-  CHECK(refusedOf(false, 50) > 0); // the budget is spent
-  LONGS_EQUAL(0, refusedOf(true, 100));
-  LONGS_EQUAL(5, refusedOf(false, 5));
+  CHECK(countBudgetRefusals(false, 50) > 0); // the budget is exhausted
+  LONGS_EQUAL(0, countBudgetRefusals(true, 100));
+  LONGS_EQUAL(5, countBudgetRefusals(false, 5));
 }
 
-// An operator changes the placement while requests wait. They must neither be
-// lost nor started twice.
+// The placement is reconfigured while requests wait. They must be neither lost
+// nor started twice.
 TEST(SchedulerTest, KeepsWaitingRequestsWhenThePlacementChanges)
 {
   Scheduler scheduler({ .maxConcurrency_ = 1 });
@@ -137,21 +138,21 @@
   LONGS_EQUAL(4, scheduler.Running());
 }
 
-TEST(SchedulerTest, RefusesASecondTryWhenTheBudgetIsSpent)
+TEST(SchedulerTest, RefusesARetryWhenTheBudgetIsExhausted)
 {
-  RetryBudget budget({ .share_ = 0.1, .most_ = 2 });
-  CHECK_TRUE(budget.TakeRetry("service"));
-  CHECK_TRUE(budget.TakeRetry("service"));
-  CHECK_FALSE(budget.TakeRetry("service"));
+  RetryBudget budget({ .tokensPerFirstAttempt_ = 0.1, .capacity_ = 2 });
+  CHECK_TRUE(budget.TryTakeRetry("service"));
+  CHECK_TRUE(budget.TryTakeRetry("service"));
+  CHECK_FALSE(budget.TryTakeRetry("service"));
   for (int index = 0; index < 11; ++index) {
-    budget.OnFirstTry("service");
+    budget.OnFirstAttempt("service");
   }
-  CHECK_TRUE(budget.TakeRetry("service"));
-  CHECK_FALSE(budget.TakeRetry("service"));
+  CHECK_TRUE(budget.TryTakeRetry("service"));
+  CHECK_FALSE(budget.TryTakeRetry("service"));
 }
 
-// A service slows down under many calls at once. With the limit left alone all
-// callers wait longer and none gains; it falls until calls are fast again.
+// A service slows down under many concurrent calls. With a fixed limit all
+// callers would wait longer without more throughput, so the limit must fall.
 TEST(SchedulerTest, LowersTheConcurrencyOfASlowService)
 {
   ConcurrencyLimit limit({});
--- a/test/core/gooseberrylift-team-limiter-test.cc
+++ b/test/core/gooseberrylift-team-limiter-test.cc
@@ -15,11 +15,11 @@
 constexpr int kHosts = 9;
 constexpr double kLimit = 100'000;
 
-// Nine hosts that tell one another of their demand each second, a second late.
-class Hosts
+// Nine hosts that exchange digests of their demand every second, with a delay.
+class HostGroup
 {
 public:
-  Hosts()
+  HostGroup()
   {
     for (int host = 0; host < kHosts; ++host) {
       limiters_.push_back(
@@ -28,37 +28,41 @@
     }
   }
 
-  // Offers three times the limit to the hosts from the first on, which may
-  // change with time. Gives the highest rate over any whole three seconds.
+  // Offers three times the limit to a range of hosts that may change over time.
+  // Returns the highest rate over consecutive intervals of three seconds.
   template<typename First, typename Count>
-  double Play(int aSeconds, bool aSilent, First aFirst, Count aCount)
+  double OfferLoad(int aSeconds,
+                   bool aPeersSilent,
+                   First aFirstHost,
+                   Count aHostCount)
   {
     double passed = 0;
-    double most = 0;
+    double peakRate = 0;
     for (int step = 0; step < aSeconds * 100; ++step) {
       now_ += milliseconds(10);
       if (step % 100 == 0) {
-        Exchange(aSilent);
+        Exchange(aPeersSilent);
       }
       if (step % 300 == 0) {
-        most = std::max(most, passed / 3);
+        peakRate = std::max(peakRate, passed / 3);
         passed = 0;
       }
       for (int request = 0; request < 3; ++request) {
-        const auto offset = random_() % static_cast<unsigned>(aCount(step));
-        const auto host = (aFirst(step) + static_cast<int>(offset)) % kHosts;
+        const auto offset = random_() % static_cast<unsigned>(aHostCount(step));
+        const auto host =
+          (aFirstHost(step) + static_cast<int>(offset)) % kHosts;
         const bool taken = limiters_[static_cast<std::size_t>(host)]->Take(
           "team", kTokens, now_);
         passed += taken ? kTokens : 0;
       }
     }
-    return most;
+    return peakRate;
   }
 
 private:
   static constexpr std::uint64_t kTokens = 1000;
 
-  void Exchange(bool aSilent)
+  void Exchange(bool aPeersSilent)
   {
     std::vector<Digest> digests;
     for (int host = 0; host < kHosts; ++host) {
@@ -69,24 +73,26 @@
       digest.demand_ = limiters_[index]->Publish(now_);
       digests.push_back(digest);
     }
-    for (int host = 0; host < kHosts && !late_.empty(); ++host) {
-      std::vector<Digest> others = aSilent ? std::vector<Digest>{} : late_;
-      if (!aSilent) {
+    for (int host = 0; host < kHosts && !delivered_.empty(); ++host) {
+      std::vector<Digest> others =
+        aPeersSilent ? std::vector<Digest>{} : delivered_;
+      if (!aPeersSilent) {
         others.erase(others.begin() + host);
       }
       limiters_[static_cast<std::size_t>(host)]->SetPeers(others, now_);
     }
-    rounds_.push_back(digests);
-    // Word takes two to three seconds: a period, a lost digest, the way.
-    if (rounds_.size() > 2) {
-      late_ = rounds_.front();
-      rounds_.pop_front();
+    digestsInFlight_.push_back(digests);
+    // Delivery takes two to three seconds: a period, a lost digest, the
+    // transit.
+    if (digestsInFlight_.size() > 2) {
+      delivered_ = digestsInFlight_.front();
+      digestsInFlight_.pop_front();
     }
   }
 
   std::vector<std::unique_ptr<TeamLimiter>> limiters_;
-  std::vector<Digest> late_;
-  std::deque<std::vector<Digest>> rounds_;
+  std::vector<Digest> delivered_;
+  std::deque<std::vector<Digest>> digestsInFlight_;
   std::uint64_t sequence_ = 0;
   std::mt19937 random_{ 5 };
   TimePoint now_{ std::chrono::seconds(1000) };
@@ -111,36 +117,36 @@
 
 TEST_GROUP(TeamLimiterTest){};
 
-// A team asks three times its limit, and its load moves from host to host.
-// Where it came from still holds the share that the next host claims; if both
-// counted it, the limit would be passed at each move.
+// A team sends three times its limit, and its load moves from host to host. The
+// previous host still holds the share that the next one claims; if both used
+// it, the limit would be exceeded at each move.
 TEST(TeamLimiterTest, HoldsTheLimitOverAllHostsWhileTheLoadMoves)
 {
-  Hosts hosts;
+  HostGroup hosts;
   const auto moving = [](int aStep) { return aStep / 1000 * 3; };
-  const double rate = hosts.Play(120, false, moving, Three);
+  const double rate = hosts.OfferLoad(120, false, moving, Three);
   CHECK_TRUE(rate <= 1.05 * kLimit);
   CHECK_TRUE(rate >= 0.6 * kLimit);
 }
 
-// One host more each three seconds gets a part of the load. The earlier ones
-// hear of it late and hold on to their shares for that long; a new one that
-// took its share at once would add it to theirs.
-TEST(TeamLimiterTest, HoldsTheLimitWhileMoreHostsAreAsked)
+// Every three seconds one more host receives part of the load. The earlier
+// hosts learn of it with a delay and keep their shares until then; if the new
+// host used its share immediately, the sum would exceed the limit.
+TEST(TeamLimiterTest, HoldsTheLimitWhileMoreHostsReceiveLoad)
 {
-  Hosts hosts;
-  hosts.Play(20, false, Zero, One);
+  HostGroup hosts;
+  hosts.OfferLoad(20, false, Zero, One);
   const auto more = [](int aStep) { return std::min(kHosts, 1 + aStep / 300); };
-  CHECK_TRUE(hosts.Play(30, false, Zero, more) <= 1.05 * kLimit);
+  CHECK_TRUE(hosts.OfferLoad(30, false, Zero, more) <= 1.05 * kLimit);
 }
 
-// Peers fall silent while the team asks on. A host that forgot them at once
-// would take the whole limit, and so would each other host.
+// Peers stop sending digests while the team continues to send. If hosts
+// discarded silent peers immediately, each of them would use the whole limit.
 TEST(TeamLimiterTest, HoldsTheLimitWhilePeersAreSilent)
 {
-  Hosts hosts;
-  hosts.Play(20, false, Zero, Three);
-  CHECK_TRUE(hosts.Play(14, true, Zero, Three) <= 1.05 * kLimit);
+  HostGroup hosts;
+  hosts.OfferLoad(20, false, Zero, Three);
+  CHECK_TRUE(hosts.OfferLoad(14, true, Zero, Three) <= 1.05 * kLimit);
 }
 
 TEST(TeamLimiterTest, LetsATeamWithoutALimitPass)
