--- a/include/gooseberrylift/gooseberrylift-burn-document.h
+++ b/include/gooseberrylift/gooseberrylift-burn-document.h
@@ -1,5 +1,5 @@
-// What one host answers to GET /report/burn, as JSON, and how the answers of
-// many hosts become one report.
+// The JSON document that a host returns for GET /report/burn, and the report
+// built by merging the documents of all hosts.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_BURN_DOCUMENT_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_BURN_DOCUMENT_H_
@@ -15,38 +15,40 @@
 
 namespace gooseberrylift {
 
-// Counts of one host, or of several that were merged.
+// The counts of one host, or the merged counts of several.
 struct BurnDocument
 {
   std::vector<std::string> hosts_;
-  std::uint64_t generation_ = 0; // of the objectives
+  std::uint64_t generation_ = 0; // configuration generation of objectives_
   ObjectivesByService objectives_;
   BurnTally tally_;
   FirstTokenHistogram firstTokens_;
 };
 
-/// Renders a document for the wire.
+/// Serializes a document to JSON.
 std::string BurnDocumentText(const BurnDocument& aDocument);
 
-/// Reads a document that another host sent.
-/// @return nothing when the text is not such a document
+/// Parses a document received from another host.
+/// @return the document, or std::nullopt if the text is malformed
 std::optional<BurnDocument> ParseBurnDocument(std::string_view aText);
 
-/// Adds a host's document. The objectives of the higher generation count.
+/// Merges a host's document into aInto. The objectives of the higher generation
+/// are used.
 void MergeDocument(BurnDocument& aInto, const BurnDocument& aFrom);
 
-/// Gives the objectives of a configuration's services.
+/// Returns the objectives of a configuration's services, by service name.
 ObjectivesByService ObjectivesOf(const Configuration& aConfiguration);
 
-/// Renders the report as JSON: hosts, rows worst first, first-token quantiles.
+/// Renders the report as JSON: hosts, rows in the order of EvaluateBurn, and
+/// quantiles of the time to first token.
 /// @param aDocument the merged counts
-/// @param aSilent addresses of the hosts that gave no answer
+/// @param aUnresponsive addresses of the hosts that did not respond
 std::string BurnReportJson(const BurnDocument& aDocument,
-                           const std::vector<std::string>& aSilent);
+                           const std::vector<std::string>& aUnresponsive);
 
-/// Renders the report as text within 80 columns.
+/// Renders the report as plain text, at most 80 columns wide.
 std::string BurnReportText(const BurnDocument& aDocument,
-                           const std::vector<std::string>& aSilent);
+                           const std::vector<std::string>& aUnresponsive);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/gooseberrylift-burn.h
+++ b/include/gooseberrylift/gooseberrylift-burn.h
@@ -1,5 +1,5 @@
-// How fast each team's error budgets are spent: counts over windows of time in
-// bounded memory, merged over hosts, and the burn rates worked out from them.
+// Error-budget burn rates by team: counts over sliding time windows in bounded
+// memory, merged across hosts, and the rates computed from them.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_BURN_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_BURN_H_
@@ -20,8 +20,9 @@
 
 namespace gooseberrylift {
 
-// Short windows show a fast burn soon, long ones a slow burn surely. The last
-// is also the period of the budget, since hosts keep nothing for longer.
+// Short windows detect a fast burn early; long windows detect a slow burn
+// reliably. The last window is also the budget period, because hosts keep no
+// counts for longer than that.
 inline constexpr std::array<std::chrono::minutes, 4> kBurnWindows = {
   std::chrono::minutes(5),
   std::chrono::minutes(30),
@@ -31,23 +32,24 @@
 
 enum class BurnObjective
 {
-  kFirstToken, // the first token within the band's bound
-  kSuccess     // the whole answer within the deadline
+  kFirstToken, // the first token arrives within the bound of its prompt band
+  kSuccess     // the response completes within the deadline
 };
 
-/// Gives an objective's name: "first-token" or "success".
+/// Returns an objective's name: "first-token" or "success".
 const char* NameOf(BurnObjective aObjective);
 
-// One request that ended, as far as objectives are concerned.
+// The properties of a finished request that the objectives depend on.
 struct BurnSample
 {
   std::string team_;
   std::string service_;
   std::uint64_t promptTokens_ = 0;
-  std::optional<std::chrono::microseconds> firstToken_; // none when none came
+  std::optional<std::chrono::microseconds> firstToken_; // empty: none arrived
   bool succeeded_ = false;
 };
 
+// Identifies one series of counts.
 struct BurnKey
 {
   std::string team_;
@@ -64,6 +66,7 @@
   bool operator==(const BurnKey&) const = default;
 };
 
+// Requests that met and that missed an objective.
 struct BurnCounts
 {
   std::uint64_t met_ = 0;
@@ -72,32 +75,33 @@
   bool operator==(const BurnCounts&) const = default;
 };
 
-// Counts by window, in the order of kBurnWindows.
+// Counts per window, in the order of kBurnWindows.
 using BurnWindowCounts = std::array<BurnCounts, kBurnWindows.size()>;
 using BurnTally = std::map<BurnKey, BurnWindowCounts>;
 
-/// Adds another host's counts. Sums are whole numbers, so the order of hosts
-/// makes no difference and nothing is lost.
+/// Adds another host's counts. The sums are integers, so the result is exact
+/// and does not depend on the order of the hosts.
 void MergeTally(BurnTally& aInto, const BurnTally& aFrom);
 
-// Counts of one host. Each team and service has two rings of slots, one of
-// minutes for half an hour and one of ten minutes for six hours, so a series
-// takes about 5 kB however many requests it counts. A window is made of whole
-// slots and includes the running one, so "5 min" covers the last four to five.
+// The counts of one host. Each pair of team and service has two ring buffers:
+// one-minute slots for 30 minutes and ten-minute slots for six hours. A series
+// therefore takes about 5 kB regardless of the number of requests. A window
+// consists of whole slots and includes the current, incomplete one, so the
+// 5-minute window covers the last four to five minutes.
 //
 //   BurnLedger ledger({});
 //   ledger.Record(sample, objective, now);
 //   const BurnTally tally = ledger.Tally(now);
 //
-// Not thread-safe; the runtime keeps one in each of its shards.
+// Not thread-safe; the runtime keeps one instance per shard.
 class BurnLedger
 {
 public:
   struct Options
   {
-    // Above this many pairs of team and service, further teams are counted
-    // together under kOtherTeams: 512 pairs in each of eight shards take 22 MB
-    // of the 128 MB that a host may use.
+    // The maximum number of pairs of team and service. Further teams are
+    // aggregated under kOtherTeams. With eight shards, 512 pairs each take
+    // 22 MB of the 128 MB memory limit of a host.
     std::size_t maxSeries_ = 512;
   };
 
@@ -110,23 +114,25 @@
 
   /// Counts one request.
   /// @param aSample the request
-  /// @param aObjective what its service promises
+  /// @param aObjective the objective of its service
   /// @param aNow the current time
   void Record(const BurnSample& aSample,
               const ServiceObjective& aObjective,
               TimePoint aNow);
 
-  /// Gives the counts of all windows that end now; empty ones are left out.
+  /// Returns the counts of all windows that end at aNow, without series that
+  /// are empty.
   BurnTally Tally(TimePoint aNow) const;
 
-  std::size_t Series() const { return series_.size(); }
+  /// Returns the number of pairs of team and service held in memory.
+  std::size_t SeriesCount() const { return series_.size(); }
 
 private:
   class SeriesCounts;
   using SeriesKey = std::pair<std::string, std::string>; // team, service
 
-  SeriesCounts& Find(const BurnSample& aSample, TimePoint aNow);
-  void DropIdle(TimePoint aNow);
+  SeriesCounts& FindOrCreate(const BurnSample& aSample, TimePoint aNow);
+  void EvictIdle(TimePoint aNow);
 
   Options options_;
   std::map<SeriesKey, std::unique_ptr<SeriesCounts>> series_;
@@ -134,23 +140,24 @@
 
 using ObjectivesByService = std::map<std::string, ServiceObjective>;
 
-// One line of the report.
+// One row of the report.
 struct BurnRow
 {
   BurnKey key_;
-  double target_ = 0; // the share that is to meet the objective
+  double target_ = 0; // fraction of requests that must meet the objective
   BurnWindowCounts counts_{};
-  // Missed share over allowed share, by window: at 1 the budget lasts exactly
-  // its period.
+  // Burn rate per window: the fraction of misses over the allowed fraction. At
+  // a rate of 1 the budget lasts exactly the budget period.
   std::array<double, kBurnWindows.size()> rates_{};
-  double budgetLeft_ = 1; // of the last window; below 0 when overspent
-  // When the budget is spent if the 30 min rate goes on; none if it never is.
-  std::optional<std::chrono::minutes> spentIn_;
+  double budgetRemaining_ = 1; // in the last window; negative when overspent
+  // Time until the budget is exhausted at the 30 min rate; empty if that rate
+  // never exhausts it.
+  std::optional<std::chrono::minutes> timeToExhaustion_;
 };
 
-/// Works out the rows of a report: the worst team first, by its highest rate
-/// over an hour, and in a team the worst row first. Counts whose service has no
-/// objective any more are left out.
+/// Computes the rows of a report. Teams are sorted by their highest one-hour
+/// burn rate in descending order, and so are the rows of a team. Omits counts
+/// of services that no longer have an objective.
 std::vector<BurnRow> EvaluateBurn(const BurnTally& aTally,
                                   const ObjectivesByService& aObjectives);
 
--- a/include/gooseberrylift/gooseberrylift-config-change.h
+++ b/include/gooseberrylift/gooseberrylift-config-change.h
@@ -1,6 +1,6 @@
-// How a change of configuration becomes the next generation: numbering,
-// conflicts between operators, and telling after a lost answer what became of
-// a write.
+// Turns a configuration change into the next generation: assigns its number,
+// detects conflicting changes, and determines the outcome of a write whose
+// response was lost.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_CONFIG_CHANGE_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_CONFIG_CHANGE_H_
@@ -15,21 +15,22 @@
 
 namespace gooseberrylift {
 
-// One accepted change, as the object's history keeps it.
+// One accepted change, as recorded in the stored object.
 struct ConfigChange
 {
   std::uint64_t generation_ = 0;
-  std::string nonce_; // unlike that of any other change
+  std::string nonce_; // unique per change
   std::string author_;
-  std::int64_t atMs_ = 0; // wall clock of the host that took it
+  std::int64_t atMs_ = 0; // Unix time, by the accepting host's clock
 };
 
-// The stored configuration with its recent changes, the newest last.
+// The stored configuration and its most recent changes, oldest first.
 struct StoredConfiguration
 {
-  // At some 100 bytes each, the list stays far below the object's megabyte.
-  // It is also how far back a lost answer can be told, which is a matter of
-  // seconds, and how many texts the store keeps.
+  // The number of changes kept. At about 100 bytes each, they stay far below
+  // the 1 MB limit of the object. This also bounds how many changes ago a write
+  // can have been for its outcome to be determined, for which a few seconds'
+  // worth suffices, and how many configuration texts the store keeps.
   static constexpr std::size_t kRecent = 100;
 
   std::uint64_t generation_ = 0;
@@ -39,33 +40,36 @@
   static StoredConfiguration FromSpec(const nlohmann::json& aSpec);
   nlohmann::json ToSpec() const;
 
-  /// Finds the change with a nonce. After a lost answer this tells whether the
-  /// write took effect, also when others wrote since.
+  /// Returns the change with a nonce, if it is still in the list. This tells
+  /// whether a write whose response was lost took effect, even if other writes
+  /// followed.
   std::optional<ConfigChange> FindChange(std::string_view aNonce) const;
 };
 
-// What decides over a proposed change.
+// The generations that determine whether a proposed change is accepted.
 struct ConfigProposal
 {
-  std::uint64_t base_ = 0;         // what the operator's text was made from
-  std::uint64_t highestKnown_ = 0; // in force on any host heard of
+  std::uint64_t base_ = 0;         // generation that the change is based on
+  std::uint64_t highestKnown_ = 0; // highest in force on any known host
 };
 
-/// Gives the number for the next change.
-/// @return nothing when the base is not the newest generation. The store may
-/// have been put back to an older one than hosts have in force: then the
-/// hosts' number counts, so that generations never repeat.
+/// Computes the generation of the next change.
+/// The store may have been restored to an older generation than the hosts have
+/// in force. In that case the hosts' generation is used, so that no number is
+/// assigned twice.
+/// @return the generation, or std::nullopt if the base is not the newest one
 std::optional<std::uint64_t> NextGeneration(const StoredConfiguration& aStored,
                                             const ConfigProposal& aProposal);
 
-/// Makes the object that the conditional update writes.
+/// Returns the stored object with the new configuration and the change appended
+/// to its list. The caller writes it by a conditional update.
 StoredConfiguration WithChange(const StoredConfiguration& aStored,
                                nlohmann::json aConfiguration,
                                ConfigChange aChange);
 
-/// Lists what differs between two configurations, one path a line:
-/// "+ path: value", "- path: value", "~ path: old -> new". Items of lists
-/// are matched by their "name".
+/// Lists the differences between two configurations, one path per line:
+/// "+ path", "- path" or "~ path: old -> new". List items are matched by
+/// "name".
 std::vector<std::string> DiffConfigurations(const nlohmann::json& aFrom,
                                             const nlohmann::json& aTo);
 
--- a/include/gooseberrylift/gooseberrylift-config.h
+++ b/include/gooseberrylift/gooseberrylift-config.h
@@ -1,5 +1,5 @@
-// The operators' configuration: teams, pools of endpoints and services. One
-// text describes the whole fleet; docs/CONFIGURATION.md describes each field.
+// The operators' configuration: teams, endpoint pools and services. A single
+// document covers the whole fleet. docs/CONFIGURATION.md describes each field.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_CONFIG_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_CONFIG_H_
@@ -22,7 +22,7 @@
 
 namespace gooseberrylift {
 
-// How urgent a service's requests are. The order is the order of service.
+// Scheduling priority of a service's requests, highest first.
 enum class ServiceClass
 {
   kUrgent,
@@ -30,95 +30,97 @@
   kBatch
 };
 
-// What stands behind a service.
+// The type of backend that implements a service.
 enum class ServiceKind
 {
   kModel,
   kPlain
 };
 
-// Whether the engines of a pool refuse an order with an old fencing number.
+// Whether the engines of a pool reject orders with an outdated fencing token.
 enum class Fencing
 {
   kEnforced,
   kIgnored
 };
 
-// A customer that shares the fleet.
+// A tenant of the fleet.
 struct TeamConfig
 {
   std::string name_;
   std::vector<std::string> keys_; // bearer keys, any of which is accepted
-  double weight_ = 1.0;           // share under contention
-  double tokensPerSecond_ = 0;    // over all hosts; 0 is unlimited
+  double weight_ = 1.0;           // relative share under contention
+  double tokensPerSecond_ = 0;    // limit across all hosts; 0 is unlimited
 };
 
-// A set of endpoints that serve the same thing.
+// A set of interchangeable endpoints.
 struct PoolConfig
 {
   std::string name_;
   Fencing fencing_ = Fencing::kIgnored;
   std::string placement_ = "least-work"; // one of PlacementKinds
-  int maxConcurrency_ = 32;              // requests per endpoint
+  int maxConcurrency_ = 32;              // concurrent requests per endpoint
 };
 
-// What a service promises its teams; the burn report counts against it.
+// Service level objectives of a service, evaluated by the burn report.
 struct ServiceObjective
 {
-  // Bound of the time to first token by prompt band; none is not counted.
+  // Upper bound of the time to first token per prompt band. Requests of a band
+  // without a bound are not counted.
   std::array<std::optional<std::chrono::milliseconds>, kPromptBands.size()>
     firstToken_{};
-  double firstTokenShare_ = 0.95; // of requests that are to keep the bound
-  double successShare_ = 0.999;   // to be answered whole within the deadline
+  double firstTokenShare_ = 0.95; // target fraction within the bound
+  double successShare_ = 0.999;   // target fraction completed by the deadline
 };
 
-// What callers address: a model or a plain service, with its objectives.
+// A service that callers address by model or by name.
 struct ServiceConfig
 {
   std::string name_;
   ServiceKind kind_ = ServiceKind::kModel;
-  std::string model_; // kModel: the name callers give in the body
+  std::string model_; // kModel: the model name in the request body
   std::string pool_;
   ServiceClass class_ = ServiceClass::kNormal;
-  std::chrono::milliseconds deadline_{ 60'000 }; // whole answer, by default
-  std::set<std::string> repeatableMethods_;      // kPlain: safe to send twice
-  std::vector<std::string> dependsOn_;           // names of services
-  std::optional<ServiceObjective> objective_;    // none is not reported on
+  std::chrono::milliseconds deadline_{ 60'000 }; // default, complete response
+  std::set<std::string> repeatableMethods_;      // kPlain: safe to retry
+  std::vector<std::string> dependsOn_;           // service names
+  std::optional<ServiceObjective> objective_;    // empty: not reported
 };
 
-// A configuration that passed its checks. It never changes after it was made;
-// parts share it by Ptr and read without a lock.
+// A validated, immutable configuration. It is shared through Ptr and read
+// without locking.
 class Configuration
 {
 public:
   using Ptr = std::shared_ptr<const Configuration>;
 
-  /// Checks a configuration and makes it ready for look-ups.
-  /// @param aText the operators' JSON text
-  /// @param aGeneration the number that rises with each accepted change
+  /// Parses and validates a configuration, and indexes it for look-ups.
+  /// @param aText the configuration as JSON
+  /// @param aGeneration its generation, which increases with each accepted
+  /// change
   /// @return the configuration, or a LEAF error carrying an Error with
-  /// kConfigurationInvalid whose text names the path of the fault
+  /// kConfigurationInvalid whose text contains the path of the invalid value
   static boost::leaf::result<Ptr> Parse(std::string_view aText,
                                         std::uint64_t aGeneration);
 
-  /// Gives the JSON Schema that Parse checks a text against.
+  /// Returns the JSON Schema that Parse validates against.
   static std::string_view Schema();
 
   std::uint64_t Generation() const { return generation_; }
 
-  /// Gives the text that this configuration was made from.
+  /// Returns the JSON text that this configuration was parsed from.
   const std::string& Text() const { return text_; }
 
-  /// Finds the team that owns a bearer key; null when there is none.
+  /// Returns the team that owns a bearer key, or nullptr.
   const TeamConfig* TeamByKey(std::string_view aKey) const;
 
-  /// Finds the model service that serves a model; null when there is none.
+  /// Returns the service that serves a model, or nullptr.
   const ServiceConfig* ServiceByModel(std::string_view aModel) const;
 
-  /// Finds a service by name; null when there is none.
+  /// Returns the service with a name, or nullptr.
   const ServiceConfig* ServiceByName(std::string_view aName) const;
 
-  /// Finds a pool by name; null when there is none.
+  /// Returns the pool with a name, or nullptr.
   const PoolConfig* PoolByName(std::string_view aName) const;
 
   const std::map<std::string, TeamConfig, std::less<>>& Teams() const
--- a/include/gooseberrylift/gooseberrylift-digest-codec.h
+++ b/include/gooseberrylift/gooseberrylift-digest-codec.h
@@ -1,4 +1,4 @@
-// Turns digests into the JSON that hosts exchange and back.
+// Converts digests to and from the JSON that hosts exchange.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_DIGEST_CODEC_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_DIGEST_CODEC_H_
@@ -9,20 +9,21 @@
 
 namespace gooseberrylift {
 
-/// Writes a digest. Names are short and empty parts are left out, because each
-/// host sends several digests a second within a fixed budget of bytes.
+/// Serializes a digest. Field names are short and empty fields are omitted,
+/// because each host sends several digests per second within a fixed byte
+/// budget.
 nlohmann::json DigestToJson(const Digest& aDigest);
 
-/// Reads a digest; unknown fields are passed over and missing ones keep their
-/// defaults, so that hosts of two versions understand each other.
-/// @return the digest; its host_ is empty when the document is none
+/// Parses a digest. Ignores unknown fields and keeps the defaults of missing
+/// ones, so that hosts of different versions can exchange digests.
+/// @return the digest; its host_ is empty if the document is malformed
 Digest DigestFromJson(const nlohmann::json& aDocument);
 
-/// Writes endpoints' rate limits.
+/// Serializes the rate limits of endpoints.
 nlohmann::json EndpointRatesToJson(const std::vector<EndpointRate>& aRates);
 
-/// Reads endpoints' rate limits. Throws a json::exception when it is no list
-/// of them.
+/// Parses the rate limits of endpoints.
+/// @throws nlohmann::json::exception if the list is malformed
 std::vector<EndpointRate> EndpointRatesFromJson(const nlohmann::json& aList);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-digest.h
+++ b/include/gooseberrylift/gooseberrylift-digest.h
@@ -1,4 +1,4 @@
-// What entry hosts tell one another of themselves, as plain data.
+// The state that entry hosts exchange about themselves, as plain data.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_DIGEST_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_DIGEST_H_
@@ -13,35 +13,36 @@
 
 namespace gooseberrylift {
 
-// A request content that killed endpoints and is refused until a time. Entries
-// of one fingerprint merge by the higher version, so that hosts that hear of a
-// quarantine and of its release in any order end alike.
+// A request content that crashed endpoints and is rejected until a point in
+// time. Of two entries with the same fingerprint the higher version wins, so
+// that hosts converge whatever the order in which they receive a quarantine and
+// its release.
 struct QuarantineEntry
 {
   std::string fingerprint_; // hash of the content, in hexadecimal
   std::uint64_t version_ = 0;
-  bool released_ = false;                         // by an operator
-  std::chrono::system_clock::time_point until_{}; // shared between hosts
+  bool released_ = false; // by an operator
+  // Uses the system clock because hosts exchange it.
+  std::chrono::system_clock::time_point until_{};
 };
 
-// The rate limit that one endpoint has named, or that it no longer names.
-// Entries of one incarnation merge by the higher version; of equal ones the
-// lower rate counts.
+// The rate limit that an endpoint announced or withdrew. Of two entries for the
+// same incarnation the higher version wins; of equal versions, the lower rate.
 struct EndpointRate
 {
   Incarnation endpoint_;
   std::uint64_t version_ = 0;
-  std::optional<double> perSecond_; // over all hosts; nothing: no limit
+  std::optional<double> perSecond_; // across all hosts; empty: no limit
 };
 
-// What one team asks of one host, in tokens a second over the last seconds.
+// The demand of one team on one host, measured over the last few seconds.
 struct TeamDemand
 {
   std::string team_;
   double tokensPerSecond_ = 0;
 };
 
-// One endpoint as one host sees it.
+// The state of one endpoint as observed by one host.
 struct EndpointDigest
 {
   std::string name_;
@@ -49,8 +50,9 @@
   EndpointState state_ = EndpointState::kLive;
 };
 
-// One host's word of itself. sequence_ rises with each, so that a late one is
-// told from a new one; incarnation_ rises with each start of the host.
+// The state that a host publishes about itself. sequence_ increases with each
+// digest, so that delayed ones can be recognized; incarnation_ increases with
+// each start of the host.
 struct Digest
 {
   std::string host_;
@@ -60,15 +62,15 @@
   std::uint64_t incarnation_ = 0;
   std::uint64_t sequence_ = 0;
   std::uint64_t generation_ = 0;        // of the configuration in force
-  std::uint64_t configurationHash_ = 0; // of its text
+  std::uint64_t configurationHash_ = 0; // hash of its text
   bool storeReachable_ = false;
   bool draining_ = false;
-  std::vector<EndpointDigest> endpoints_; // those not plainly live
+  std::vector<EndpointDigest> endpoints_; // only those that are not live
   std::vector<QuarantineEntry> quarantine_;
   std::vector<EndpointRate> rates_;
   std::vector<TeamDemand> demand_;
-  bool keysProven_ = false;   // it may let in callers by their keys
-  std::size_t zoneHosts_ = 0; // hosts of its zone that it knows, with it
+  bool keysProven_ = false;       // it may authenticate callers by their keys
+  std::size_t zoneHostCount_ = 0; // known hosts in its zone, including itself
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-event-limit.h
+++ b/include/gooseberrylift/gooseberrylift-event-limit.h
@@ -1,4 +1,4 @@
-// Bounds how often one kind of event is written.
+// Rate limit for log events of one kind.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_LIMIT_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_LIMIT_H_
@@ -11,15 +11,16 @@
 
 namespace gooseberrylift {
 
-// In an overload each request may log a refusal, and the log would then cost
-// more than the requests. Each second a number of occurrences passes; the first
-// of a later second tells how many did not. Not thread-safe.
+// Limits the number of events per second. Under overload every request may log
+// a rejection, and logging would then cost more than the requests themselves.
+// The first event that is admitted in a later second reports how many were
+// suppressed. Not thread-safe.
 class EventLimit
 {
 public:
   struct Options
   {
-    int perSecond_ = 20; // enough to see a pattern, and 6 kB/s at most
+    int perSecond_ = 20; // enough to show a pattern, at most 6 kB/s of log
   };
 
   explicit EventLimit(Options aOptions)
@@ -27,16 +28,16 @@
   {
   }
 
-  /// Asks whether an occurrence is to be written.
-  /// @return the number left out since the last one written; nothing when this
-  /// one is to be left out too
+  /// Decides whether an event is written.
+  /// @return the number of events suppressed since the last one written, or
+  /// std::nullopt if this event is suppressed as well
   std::optional<std::uint64_t> Pass(TimePoint aNow);
 
 private:
   Options options_;
-  std::chrono::seconds second_{ -1 };
-  int passed_ = 0;
-  std::uint64_t leftOut_ = 0;
+  std::chrono::seconds currentSecond_{ -1 };
+  int admitted_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-peer-table.h
+++ b/include/gooseberrylift/gooseberrylift-peer-table.h
@@ -1,5 +1,5 @@
-// Decides with whom a host exchanges digests, what it passes on, and which
-// other hosts it takes for live.
+// Gossip state of one host: selects the peers to exchange digests with and the
+// digests to relay, and detects failed hosts.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_PEER_TABLE_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_PEER_TABLE_H_
@@ -16,7 +16,7 @@
 
 namespace gooseberrylift {
 
-// A host as the store's lists of members show it.
+// A host as listed in the store's membership.
 struct PeerMember
 {
   std::string host_;
@@ -26,47 +26,51 @@
   std::uint64_t incarnation_ = 0;
 };
 
-// What one host sends another: its own word, and others' words it passes on.
+// A message between hosts: the sender's own digest and relayed digests of
+// others.
 struct PeerMessage
 {
   Digest from_;
   std::vector<Digest> relayed_;
 };
 
-// What a message brought.
+// The result of processing a message.
 struct PeerNews
 {
-  bool changed_ = false;         // something newer was learnt
-  std::uint64_t generation_ = 0; // the sender's, to fetch when it is higher
+  bool changed_ = false;         // it contained a newer digest
+  std::uint64_t generation_ = 0; // the sender's; fetched if it is higher
 };
 
-// The state of one host's exchange: push and pull with random peers. Each
-// message carries the sender's own digest, so what every host repeats once it
-// has learnt it (generation, endpoint states, quarantine) reaches all in a
-// number of rounds that grows with the logarithm of the hosts. Digests of
-// others are passed on inside an availability zone only, a fixed number a
-// message, those told least often first; a host's cost thus follows the
-// size of its zone, and is bounded a message. Up to kSmallFleet hosts, all are
-// treated as one zone.
+// The state of a push-pull gossip protocol with random peers. Each message
+// carries the sender's own digest. State that every host republishes once it
+// has received it (generation, endpoint states, quarantine) reaches all hosts
+// in a number of rounds that is logarithmic in the number of hosts.
 //
-// Not thread-safe; one owner feeds it events that carry the time:
+// Digests of other hosts are relayed only within an availability zone. Each
+// message contains a fixed number of them, the least often relayed first. The
+// cost of a host thus depends on the size of its zone, and the size of a
+// message is bounded. A fleet of fewer than kSmallFleet other hosts is treated
+// as a single zone.
+//
+// Not thread-safe. The owner passes the current time to each call:
 //
 //   PeerTable table({ .host_ = "entry-1", .zone_ = "a", .seed_ = 1 });
 //   table.OnMembers(members, now);
 //   table.SetOwn(digest, now);
-//   for (const PeerMember& peer : table.PickPeers(now)) {
+//   for (const PeerMember& peer : table.PickPeers()) {
 //     send(table.MakeMessage(peer.zone_));
 //   }
 class PeerTable
 {
 public:
-  // Today's 6 to 9 hosts and their growth; above, a host's zone bounds what it
-  // follows in full.
+  // Fleets of this size or above follow only their own zone in full. Leaves
+  // margin for growth above the usual 6 to 9 hosts.
   static constexpr std::size_t kSmallFleet = 32;
 
-  // Hosts beyond the own zone that are kept, a random sample: news needs few
-  // links to cross a random graph, and memory then follows the zone's size.
-  static constexpr std::size_t kFarPeers = 64;
+  // The size of the random sample of hosts kept from other zones. Few links per
+  // host suffice for updates to cross a random graph, and the bound makes
+  // memory depend on the size of the own zone only.
+  static constexpr std::size_t kMaxOutOfZonePeers = 64;
 
   struct Options
   {
@@ -77,64 +81,67 @@
     std::uint64_t incarnation_ = 0;
     std::uint64_t seed_ = 0;
     std::chrono::milliseconds round_{ 1000 };
-    std::chrono::milliseconds largeRound_{ 1000 }; // above kSmallFleet
-    std::size_t partners_ = 2;                     // a round, in a small fleet
+    std::chrono::milliseconds largeRound_{ 1000 }; // from kSmallFleet
+    std::size_t partners_ = 2; // peers per round in a small fleet
     // Eight digests of about 130 bytes keep a message below 1.5 KB.
     std::size_t relayedPerMessage_ = 8;
-    // Rounds without news of a host until it is taken for gone: a lost message
-    // or two and the passing on must fit.
+    // The number of heartbeat intervals without a sign of life after which a
+    // host is considered failed. Allows for one or two lost messages and the
+    // delay of relaying.
     int roundsUntilGone_ = 5;
   };
 
   explicit PeerTable(Options aOptions);
 
-  /// Takes in the store's members, which fill gaps in what was heard.
+  /// Adds the members listed in the store, which may include hosts that no
+  /// message has mentioned yet.
   void OnMembers(const std::vector<PeerMember>& aMembers, TimePoint aNow);
 
-  /// Begins a round with this host's own word of itself. Names, incarnation
-  /// and sequence are filled in here.
+  /// Starts a round and publishes this host's own digest. Sets the digest's
+  /// host, zone, region, address, incarnation and sequence.
   void SetOwn(Digest aOwn, TimePoint aNow);
 
-  /// Chooses this round's partners.
+  /// Selects the peers to exchange digests with in this round.
   std::vector<PeerMember> PickPeers();
 
-  /// Chooses partners for news that should not wait for the next round: hosts
-  /// not known to be at this host's generation.
+  /// Selects peers for a new generation that should not wait for the next
+  /// round: hosts that are not known to have this host's generation.
   std::vector<PeerMember> PickForNews(std::size_t aCount);
 
-  /// Chooses partners for news that concerns all hosts of the own scope.
+  /// Selects live peers for an update that concerns all hosts in scope: those
+  /// of the own zone, or all hosts of a small fleet.
   std::vector<PeerMember> PickNear(std::size_t aCount);
 
-  /// Makes the message for a partner in a zone; also the answer to one.
+  /// Builds the message, or the reply, for a peer in a zone.
   PeerMessage MakeMessage(const std::string& aZone);
 
-  /// Takes in a partner's message.
+  /// Processes a peer's message.
   PeerNews OnMessage(const PeerMessage& aMessage, TimePoint aNow);
 
-  /// Notes that a host was heard of in another way.
+  /// Records a sign of life of a host that did not come by a digest.
   void OnHeard(const std::string& aHost, TimePoint aNow);
 
-  /// Gives the time between two rounds.
+  /// Returns the interval between two rounds.
   std::chrono::milliseconds Round() const
   {
     return IsSmall() ? options_.round_
                      : std::max(options_.round_, options_.largeRound_);
   }
 
-  /// Gives the latest digest of every other host that is live.
+  /// Returns the latest digest of every other live host.
   std::vector<Digest> Live(TimePoint aNow) const;
 
-  /// Gives every other host known, live or not, by name.
+  /// Returns all other known hosts, live or not, sorted by name.
   std::vector<PeerMember> Known() const;
 
-  /// Gives the other hosts that were heard of lately, for a host that has just
-  /// started.
+  /// Returns the other hosts with a recent digest. A host that has just started
+  /// requests this list.
   std::vector<PeerMember> HeardLately(TimePoint aNow) const;
 
-  /// Gives the number of other hosts in the fleet: those of the own zone, and
-  /// of each other zone as many as a host of it has told, so that it holds also
-  /// where most of them are not followed. It is rather too high than too low
-  /// right after hosts were lost.
+  /// Estimates the number of other hosts in the fleet: the known hosts of the
+  /// own zone, plus for each other zone the highest count that one of its hosts
+  /// reported, since most hosts of other zones are not followed. Right after
+  /// hosts have failed, the estimate may be too high.
   std::size_t FleetSize() const;
 
   const Digest& Own() const { return own_; }
@@ -143,31 +150,31 @@
   struct Entry
   {
     PeerMember member_;
-    Digest digest_; // host_ is empty until one was heard
-    TimePoint heard_{};
-    TimePoint listed_{};
-    int told_ = 0; // how often passed on since it changed
+    Digest digest_; // host_ is empty until one is received
+    TimePoint lastHeard_{};
+    TimePoint lastListed_{};
+    int relayCount_ = 0; // since digest_ last changed
   };
 
-  bool Learn(const Digest& aDigest, TimePoint aNow);
+  bool MergeDigest(const Digest& aDigest, TimePoint aNow);
   bool IsSmall() const { return entries_.size() < kSmallFleet; }
   bool InScope(const std::string& aZone) const;
-  std::map<std::string, std::size_t> ZoneHosts() const; // the others known
-  std::size_t CountNear() const;
+  std::map<std::string, std::size_t> ZoneHosts() const; // without this host
+  std::size_t CountInScope() const;
   std::chrono::milliseconds Heartbeat() const;
-  bool HasRoomFor(const std::string& aZone) const;
+  bool HasCapacityFor(const std::string& aZone) const;
   bool IsLive(const Entry& aEntry, TimePoint aNow) const;
-  void ForgetGone(TimePoint aNow);
-  void PickOne(const std::vector<const Entry*>& aFrom,
-               std::vector<PeerMember>& aPicked);
+  void EvictExpired(TimePoint aNow);
+  void SelectRandomPeer(const std::vector<const Entry*>& aFrom,
+                        std::vector<PeerMember>& aPicked);
 
   Options options_;
   std::mt19937_64 random_;
   Digest own_;
   TimePoint lastRound_{};
-  TimePoint lastBeat_{};
+  TimePoint lastHeartbeat_{};
   std::uint64_t rounds_ = 0;
-  std::size_t near_ = 0; // hosts in scope, counted once a round
+  std::size_t hostsInScope_ = 0; // updated once per round
   std::map<std::string, Entry> entries_;
 };
 
--- a/include/gooseberrylift/gooseberrylift-result.h
+++ b/include/gooseberrylift/gooseberrylift-result.h
@@ -1,5 +1,5 @@
-// Numbered result codes and the error type that carries them. The table with
-// their meaning for callers and operators is docs/RESULT-CODES.md.
+// Numeric result codes and the error type that carries them.
+// docs/RESULT-CODES.md documents them for callers and operators.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_RESULT_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_RESULT_H_
@@ -12,9 +12,9 @@
 
 namespace gooseberrylift {
 
-// The number is also the exit status of a command that ends with it, so every
-// code stays below 256. Ranges: 1-9 general, 10-29 settings and command line,
-// 30-59 caller's input, 60-89 decisions under load, 90-125 store,
+// The value is also the exit status of a command that ends with this result,
+// so all codes are below 256. Ranges: 1-9 general, 10-29 settings and command
+// line, 30-59 invalid requests, 60-89 admission and scheduling, 90-125 store,
 // configuration, peers and orders, 126-165 endpoints, 170-209 at-most-once
 // calls, jobs and quarantine, 210-239 reports.
 enum class ResultCode
@@ -90,9 +90,9 @@
   kReportPartial = 210,
 };
 
-// Whether any endpoint may have begun the work of a request. kNo is said only
-// while no byte of the request was handed to an endpoint's socket, or when the
-// endpoint itself proved that it did not begin.
+// Whether an endpoint may have started to execute a request. kNo is reported
+// only if no byte of the request was written to an endpoint's socket, or if the
+// endpoint confirmed that it did not start.
 enum class RanState
 {
   kNo,
@@ -100,7 +100,7 @@
   kYes
 };
 
-// One row of the table of result codes.
+// The name, HTTP status and description of a result code.
 struct ResultInfo
 {
   ResultCode code_;
@@ -109,7 +109,7 @@
   std::string_view meaning_;
 };
 
-// An error on its way to a caller or an operator.
+// An error that is reported to a caller or an operator.
 struct Error
 {
   ResultCode code_ = ResultCode::kInternal;
@@ -118,25 +118,23 @@
   std::optional<std::chrono::milliseconds> retryAfter_ = std::nullopt;
 };
 
-/// Makes an error of a request that did not run.
+/// Creates an error for a request that was not executed (RanState::kNo).
 Error MakeError(ResultCode aCode, std::string aText = {});
 
-/// Lists every result code once, in rising order of its number.
+/// Returns all result codes in ascending order.
 std::span<const ResultInfo> AllResults();
 
-/// Finds the row of a code.
-/// @param aCode the code looked for
-/// @return its row; the row of kInternal for a number outside the table
+/// Returns the description of a code, or that of kInternal for an unknown code.
 const ResultInfo& InfoOf(ResultCode aCode);
 
-/// Gives the word for a run state as callers see it: "no", "unknown", "yes".
+/// Returns the value of the "ran" field in responses: "no", "unknown" or "yes".
 std::string_view NameOf(RanState aRan);
 
-/// Renders an error as the JSON body that callers receive.
+/// Renders an error as the JSON body of a response.
 /// @param aError the error
-/// @param aRequestId the request's identifier, empty when there is none yet
-/// @return one JSON object with code, name, message, ran, request_id and, when
-/// a retry may help, retry_after_ms
+/// @param aRequestId the request's identifier, empty if none is assigned yet
+/// @return a JSON object whose "error" has code, name, message and ran, and if
+/// they are set request_id and retry_after_ms
 std::string ErrorBody(const Error& aError, std::string_view aRequestId);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-schema.h
+++ b/include/gooseberrylift/gooseberrylift-schema.h
@@ -1,5 +1,5 @@
-// Checks a JSON document against a JSON Schema and names the path of the
-// first fault. valijson's headers are heavy, so they stay behind this one.
+// JSON Schema validation. Hides valijson, whose headers are slow to compile,
+// from the rest of the code.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_SCHEMA_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_SCHEMA_H_
@@ -12,12 +12,13 @@
 
 namespace gooseberrylift {
 
-/// Checks a document against a schema.
+/// Validates a document against a schema.
 /// @param aDocument the document
 /// @param aSchema the text of a JSON Schema, draft 7
-/// @return nothing when it is valid, else a text with path and reason
-std::optional<std::string> FindSchemaFault(const nlohmann::json& aDocument,
-                                           std::string_view aSchema);
+/// @return std::nullopt if the document is valid, else the path and the reason
+/// of the first violation
+std::optional<std::string> FindSchemaViolation(const nlohmann::json& aDocument,
+                                               std::string_view aSchema);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/gooseberrylift-settings.h
+++ b/include/gooseberrylift/gooseberrylift-settings.h
@@ -1,6 +1,6 @@
 // The settings of one host: its name, availability zone, addresses and limits.
-// They are read once at the start; what changes while running lives in the
-// Configuration. docs/CONFIGURATION.md describes each field.
+// They are read once at startup; Configuration holds what can change at run
+// time. docs/CONFIGURATION.md describes each field.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_SETTINGS_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_SETTINGS_H_
@@ -22,28 +22,33 @@
 struct ListenSettings
 {
   std::string address_ = "127.0.0.1";
-  std::uint16_t port_ = 0; // 0 picks a free port
+  std::uint16_t port_ = 0; // 0 selects a free port
   std::size_t maxConnections_ = 10'000;
 };
 
-// What a host that serves routes promises of them. The platform that it runs
-// on states the figures; these are those of a small deployment.
+// Guarantees and limits of a gateway, a host that serves routes. The platform
+// specifies the values; the defaults suit a small deployment.
 struct GatewaySettings
 {
-  bool strictRevocation_ = true; // by hosts without a store as well
-  // How long after a key was taken away it may still be served.
+  // Whether a host that can't reach the store rejects keys after
+  // revokeWithin_.
+  bool strictRevocation_ = true;
+  // The maximum time for which a revoked key may still be accepted.
   std::chrono::milliseconds revokeWithin_{ 5'000 };
-  double retryRatio_ = 0.2; // repeats for each request, over all hosts
+  double retryRatio_ = 0.2; // retries per request, across all hosts
   std::chrono::milliseconds retryWindow_{ 10'000 };
-  double retryAllowance_ = 100; // repeats in a window beside these
-  // The longest time for which an engine sets memory aside.
+  double retryAllowance_ = 100; // retries per window on top of the ratio
+  // The longest time for which an engine reserves memory.
   std::chrono::milliseconds longestHold_{ 20'000 };
-  // In large zones a few hosts read the store for all; else each for itself.
+  // Whether in large zones a few hosts read the store and relay it to the
+  // others. Otherwise every host reads the store itself.
   bool relaysStore_ = true;
-  // Whether operators may evacuate availability zones. Adds reads of the store.
+  // Whether operators may evacuate availability zones. Requires additional
+  // reads of the store.
   bool evacuations_ = false;
 };
 
+// Settings of a host, with the default of each.
 struct Settings
 {
   std::string hostName_;
@@ -55,12 +60,12 @@
   std::chrono::milliseconds headerTimeout_{ 10'000 };
   std::chrono::milliseconds bodyTimeout_{ 60'000 };
   std::chrono::milliseconds writeTimeout_{ 30'000 };
-  ListenSettings ready_; // only with gateway_: where the balancer asks
+  ListenSettings ready_; // only with gateway_: load balancer health checks
   ListenSettings admin_;
   std::vector<std::string> adminKeys_;
   ListenSettings peer_;
-  std::vector<std::string> peerKeys_;       // the first signs, all are accepted
-  std::vector<std::string> peerSeeds_;      // IP:port, asked while alone
+  std::vector<std::string> peerKeys_;       // signs with the first, accepts all
+  std::vector<std::string> peerSeeds_;      // IP:port, used without known peers
   std::vector<std::string> storeAddresses_; // IP:port
   std::string hostListAddress_;             // IP:port
   std::chrono::milliseconds hostListPoll_{ 1000 };
@@ -68,20 +73,20 @@
   int threads_ = 2;
   std::chrono::milliseconds drainLag_{ 2000 };
   std::chrono::milliseconds drainLimit_{ 60'000 };
-  std::size_t onceMaxBatch_ = 256; // calls in one write of the group commit
+  std::size_t onceMaxBatch_ = 256; // calls per group commit
   std::chrono::milliseconds jobLease_{ 15'000 };
   std::string logLevel_ = "info";
-  // Set on a host that serves routes instead of the services of the
-  // operators' own configuration.
+  // Set on a gateway, which serves routes instead of the services of the
+  // operators' configuration.
   std::optional<GatewaySettings> gateway_{};
 
-  /// Checks settings and fills in the defaults.
+  /// Parses and validates settings, and applies the defaults.
   /// @param aText the JSON text of the settings file
   /// @return the settings, or a LEAF error carrying an Error with
-  /// kSettingsInvalid whose text names the path of the fault
+  /// kSettingsInvalid whose text contains the path of the invalid value
   static boost::leaf::result<Settings> Parse(std::string_view aText);
 
-  /// Gives the JSON Schema that Parse checks a text against.
+  /// Returns the JSON Schema that Parse validates against.
   static std::string_view Schema();
 };
 
--- a/include/gooseberrylift/gooseberrylift-sse.h
+++ b/include/gooseberrylift/gooseberrylift-sse.h
@@ -1,6 +1,6 @@
-// Splits the body of a server-sent event stream into its events. Debian has no
-// library for it; the format's only rule needed here is that an empty line ends
-// an event and "data:" begins its text.
+// A minimal parser for server-sent events, for which Debian packages no
+// library. It supports only what is needed here: an empty line ends an event,
+// and its payload follows "data:".
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_SSE_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_SSE_H_
@@ -11,7 +11,7 @@
 
 namespace gooseberrylift {
 
-// Takes pieces as they come and gives whole events:
+// Incremental parser for an event stream:
 //
 //   SseReader reader;
 //   reader.Feed(piece);
@@ -19,15 +19,16 @@
 class SseReader
 {
 public:
-  /// Adds bytes of the body.
+  /// Appends a part of the response body.
   void Feed(std::string_view aPiece) { text_ += aPiece; }
 
-  /// Gives the data of the next whole event; nothing while it is incomplete.
+  /// Returns the data of the next complete event, or std::nullopt if there is
+  /// none yet. Skips events that do not start with "data:".
   std::optional<std::string> Next();
 
 private:
   std::string text_;
-  std::size_t begin_ = 0;
+  std::size_t position_ = 0;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-text-table.h
+++ b/include/gooseberrylift/gooseberrylift-text-table.h
@@ -1,4 +1,4 @@
-// Text tables for terminals of 80 columns.
+// Plain-text tables for 80-column terminals.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_TEXT_TABLE_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_TEXT_TABLE_H_
@@ -9,8 +9,8 @@
 
 namespace gooseberrylift {
 
-// Lines up rows under a heading. When a row would be wider than the limit, the
-// widest left-aligned column gives way and its long cells end in "~":
+// Aligns rows under column headings. If the table is wider than kWidth, the
+// widest left-aligned columns are narrowed; truncated cells end in "~":
 //
 //   TextTable table({ { "HOST" }, { "WAITING", true } });
 //   table.Add({ "entry-1", "0" });
@@ -21,23 +21,23 @@
   struct Column
   {
     std::string heading_;
-    bool right_ = false; // for numbers, which are never shortened
+    bool rightAligned_ = false; // for numbers; never truncated
   };
 
   static constexpr std::size_t kWidth = 80;
 
   explicit TextTable(std::vector<Column> aColumns);
 
-  /// Adds a row with one cell for each column.
+  /// Appends a row with one cell per column.
   void Add(std::vector<std::string> aCells);
 
-  /// Gives heading and rows, each line ended.
+  /// Returns the headings and rows, each terminated by a newline.
   std::string Text() const;
 
 private:
-  std::vector<std::size_t> Widths() const;
-  std::string Line(const std::vector<std::string>& aCells,
-                   const std::vector<std::size_t>& aWidths) const;
+  std::vector<std::size_t> ColumnWidths() const;
+  std::string FormatLine(const std::vector<std::string>& aCells,
+                         const std::vector<std::size_t>& aWidths) const;
 
   std::vector<Column> columns_;
   std::vector<std::vector<std::string>> rows_;
--- a/src/core/gooseberrylift-burn-document.cc
+++ b/src/core/gooseberrylift-burn-document.cc
@@ -30,7 +30,7 @@
   return items;
 }
 
-ObjectivesByService ReadObjectives(const json& aItems)
+ObjectivesByService ParseObjectives(const json& aItems)
 {
   ObjectivesByService objectives;
   for (const auto& [service, item] : aItems.items()) {
@@ -60,7 +60,7 @@
   return counts;
 }
 
-BurnWindowCounts ReadCounts(const json& aItems)
+BurnWindowCounts ParseCounts(const json& aItems)
 {
   BurnWindowCounts counts;
   for (std::size_t window = 0; window < counts.size(); ++window) {
@@ -79,46 +79,48 @@
            { "target", aRow.target_ },
            { "counts", CountsJson(aRow.counts_) },
            { "burn_rates", aRow.rates_ },
-           { "budget_left", aRow.budgetLeft_ },
+           { "budget_left", aRow.budgetRemaining_ },
            { "spent_in_minutes",
-             aRow.spentIn_ ? json(aRow.spentIn_->count()) : json() } };
+             aRow.timeToExhaustion_ ? json(aRow.timeToExhaustion_->count())
+                                    : json() } };
 }
 
-constexpr std::array kShares = { 0.5, 0.95, 0.99 };
+constexpr std::array kQuantiles = { 0.5, 0.95, 0.99 };
 
 json QuantileJson(const std::optional<std::chrono::duration<double>>& aTime)
 {
   return aTime ? json(aTime->count()) : json();
 }
 
-// A budget overspent many times over needs no exact figure, but its place in
-// the table must stay narrow.
-std::string Percent(double aShare)
+// Clamps at -999 % to keep the column narrow. The exact value does not matter
+// for a budget that is overspent many times over.
+std::string FormatPercent(double aShare)
 {
   constexpr double kLowest = -9.99;
   return std::to_string(std::lround(std::max(aShare, kLowest) * 100)) + "%";
 }
 
-// Short, so that names of teams and services have room in 80 columns.
-const char* ShortNameOf(BurnObjective aObjective)
+// Returns a short label, to leave space for team and service names within 80
+// columns.
+const char* ObjectiveLabel(BurnObjective aObjective)
 {
   return aObjective == BurnObjective::kFirstToken ? "first" : "whole";
 }
 
-std::string SpentText(const BurnRow& aRow)
+std::string FormatTimeToExhaustion(const BurnRow& aRow)
 {
-  if (!aRow.spentIn_) {
+  if (!aRow.timeToExhaustion_) {
     return "never";
   }
-  const auto minutes = aRow.spentIn_->count();
+  const auto minutes = aRow.timeToExhaustion_->count();
   if (minutes == 0) {
-    return aRow.budgetLeft_ <= 0 ? "spent" : "now";
+    return aRow.budgetRemaining_ <= 0 ? "spent" : "now";
   }
   return minutes < 120 ? std::to_string(minutes) + " min"
                        : std::to_string(minutes / 60) + " h";
 }
 
-std::string RateText(double aRate)
+std::string FormatRate(double aRate)
 {
   constexpr double kOneDecimalBelow = 9.95;
   if (aRate >= kOneDecimalBelow) {
@@ -128,7 +130,7 @@
   return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10);
 }
 
-// Series with counts, as (service, band).
+// Returns the pairs of service and band that have counts.
 std::vector<std::pair<std::string, std::size_t>> SeriesOf(
   const FirstTokenHistogram& aHistogram)
 {
@@ -140,7 +142,7 @@
   return series;
 }
 
-std::string QuantileText(
+std::string FormatQuantile(
   const std::optional<std::chrono::duration<double>>& aTime)
 {
   if (!aTime) {
@@ -191,7 +193,7 @@
     BurnDocument read{
       .hosts_ = document.at("hosts"),
       .generation_ = document.at("generation"),
-      .objectives_ = ReadObjectives(document.at("objectives")),
+      .objectives_ = ParseObjectives(document.at("objectives")),
     };
     for (const json& item : document.at("series")) {
       const BurnKey key{ .team_ = item.at("team"),
@@ -203,7 +205,7 @@
       if (key.band_ >= kPromptBands.size()) {
         return std::nullopt;
       }
-      read.tally_[key] = ReadCounts(item.at("counts"));
+      read.tally_[key] = ParseCounts(item.at("counts"));
     }
     for (const json& item : document.at("first_token_bins")) {
       read.firstTokens_.Add({ .service_ = item.at(0),
@@ -241,7 +243,7 @@
 }
 
 std::string BurnReportJson(const BurnDocument& aDocument,
-                           const std::vector<std::string>& aSilent)
+                           const std::vector<std::string>& aUnresponsive)
 {
   json rows = json::array();
   for (const BurnRow& row :
@@ -256,14 +258,14 @@
   for (const auto& [service, band] : SeriesOf(aDocument.firstTokens_)) {
     json item = { { "service", service },
                   { "band", kPromptBands.at(band).name_ } };
-    for (const double share : kShares) {
+    for (const double share : kQuantiles) {
       item["p" + std::to_string(static_cast<int>(share * 100))] =
         QuantileJson(aDocument.firstTokens_.Quantile(service, band, share));
     }
     quantiles.push_back(item);
   }
   const json report = { { "hosts", aDocument.hosts_ },
-                        { "silent_hosts", aSilent },
+                        { "silent_hosts", aUnresponsive },
                         { "generation", aDocument.generation_ },
                         { "windows_minutes", windows },
                         { "rows", rows },
@@ -272,13 +274,13 @@
 }
 
 std::string BurnReportText(const BurnDocument& aDocument,
-                           const std::vector<std::string>& aSilent)
+                           const std::vector<std::string>& aUnresponsive)
 {
   std::string text =
     "Burn rates, worst team first (1.0 spends the budget in 6 h); hosts: " +
     std::to_string(aDocument.hosts_.size()) + "\n";
-  if (!aSilent.empty()) {
-    text += "No answer, not counted: " + Join(aSilent) + "\n";
+  if (!aUnresponsive.empty()) {
+    text += "No answer, not counted: " + Join(aUnresponsive) + "\n";
   }
   TextTable table({ { "TEAM" },
                     { "SERVICE" },
@@ -295,13 +297,13 @@
     table.Add({ row.key_.team_,
                 row.key_.service_,
                 kPromptBands.at(row.key_.band_).name_,
-                ShortNameOf(row.key_.objective_),
-                RateText(row.rates_.at(0)),
-                RateText(row.rates_.at(1)),
-                RateText(row.rates_.at(2)),
-                RateText(row.rates_.at(3)),
-                Percent(row.budgetLeft_),
-                SpentText(row) });
+                ObjectiveLabel(row.key_.objective_),
+                FormatRate(row.rates_.at(0)),
+                FormatRate(row.rates_.at(1)),
+                FormatRate(row.rates_.at(2)),
+                FormatRate(row.rates_.at(3)),
+                FormatPercent(row.budgetRemaining_),
+                FormatTimeToExhaustion(row) });
   }
   text += "\n" + table.Text() +
           "\nTime to first token in ms since the hosts started\n\n";
@@ -312,9 +314,9 @@
                     { "P99", true } });
   for (const auto& [service, band] : SeriesOf(aDocument.firstTokens_)) {
     std::vector<std::string> cells{ service, kPromptBands.at(band).name_ };
-    for (const double share : kShares) {
+    for (const double share : kQuantiles) {
       cells.push_back(
-        QuantileText(aDocument.firstTokens_.Quantile(service, band, share)));
+        FormatQuantile(aDocument.firstTokens_.Quantile(service, band, share)));
     }
     times.Add(std::move(cells));
   }
--- a/src/core/gooseberrylift-burn.cc
+++ b/src/core/gooseberrylift-burn.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kOutcomes = 4; // met and missed of each objective
+constexpr int kOutcomes = 4; // met and missed, for each objective
 
 int OutcomeIndex(BurnObjective aObjective, bool aMet)
 {
@@ -22,14 +22,15 @@
 using RingHistogram =
   bh::histogram<std::tuple<Axis, Axis, Axis>, bh::dense_storage<std::uint32_t>>;
 
-// A histogram of slot, band and outcome whose slots are used in turn.
+// A histogram over time slot, prompt band and outcome. The slots form a ring
+// buffer: a new slot reuses the storage of the oldest one.
 class SlotRing
 {
 public:
-  SlotRing(int aSlots, minutes aSlot)
-    : slots_(aSlots)
-    , slot_(aSlot)
-    , histogram_(std::make_tuple(Axis(0, aSlots),
+  SlotRing(int aSlotCount, minutes aSlot)
+    : slotCount_(aSlotCount)
+    , slotLength_(aSlot)
+    , histogram_(std::make_tuple(Axis(0, aSlotCount),
                                  Axis(0, static_cast<int>(kPromptBands.size())),
                                  Axis(0, kOutcomes)))
   {
@@ -37,8 +38,9 @@
 
   void Add(std::size_t aBand, int aOutcome, TimePoint aNow)
   {
-    Advance(SlotOf(aNow));
-    ++histogram_.at(IndexOf(newest_), static_cast<int>(aBand), aOutcome);
+    AdvanceTo(SlotOf(aNow));
+    ++histogram_.at(
+      RingIndexOf(newestSlot_), static_cast<int>(aBand), aOutcome);
   }
 
   std::uint64_t Sum(minutes aWindow,
@@ -47,38 +49,42 @@
                     TimePoint aNow) const
   {
     const std::int64_t last = SlotOf(aNow);
-    const std::int64_t first = last - aWindow / slot_ + 1;
+    const std::int64_t first = last - aWindow / slotLength_ + 1;
     std::uint64_t sum = 0;
-    for (std::int64_t slot = std::max(first, newest_ - slots_ + 1);
-         slot <= std::min(last, newest_);
+    for (std::int64_t slot = std::max(first, newestSlot_ - slotCount_ + 1);
+         slot <= std::min(last, newestSlot_);
          ++slot) {
-      sum += histogram_.at(IndexOf(slot), static_cast<int>(aBand), aOutcome);
+      sum +=
+        histogram_.at(RingIndexOf(slot), static_cast<int>(aBand), aOutcome);
     }
     return sum;
   }
 
-  bool IsIdle(TimePoint aNow) const { return SlotOf(aNow) - newest_ >= slots_; }
+  bool IsIdle(TimePoint aNow) const
+  {
+    return SlotOf(aNow) - newestSlot_ >= slotCount_;
+  }
 
 private:
   std::int64_t SlotOf(TimePoint aTime) const
   {
-    return aTime.time_since_epoch() / slot_;
+    return aTime.time_since_epoch() / slotLength_;
   }
 
-  int IndexOf(std::int64_t aSlot) const
+  int RingIndexOf(std::int64_t aSlot) const
   {
-    return static_cast<int>(((aSlot % slots_) + slots_) % slots_);
+    return static_cast<int>(((aSlot % slotCount_) + slotCount_) % slotCount_);
   }
 
-  // Empties the slots that a new one and those skipped take over. Without it
-  // counts of six hours ago would come back as new ones.
-  void Advance(std::int64_t aSlot)
+  // Makes aSlot the newest slot, and clears it and the slots skipped since the
+  // last call. Otherwise counts of six hours ago would be reported as current.
+  void AdvanceTo(std::int64_t aSlot)
   {
-    const std::int64_t from = std::max(newest_ + 1, aSlot - slots_ + 1);
+    const std::int64_t from = std::max(newestSlot_ + 1, aSlot - slotCount_ + 1);
     for (std::int64_t slot = from; slot <= aSlot; ++slot) {
-      Clear(IndexOf(slot));
+      Clear(RingIndexOf(slot));
     }
-    newest_ = std::max(newest_, aSlot);
+    newestSlot_ = std::max(newestSlot_, aSlot);
   }
 
   void Clear(int aIndex)
@@ -90,13 +96,13 @@
     }
   }
 
-  int slots_;
-  minutes slot_;
+  int slotCount_;
+  minutes slotLength_;
   RingHistogram histogram_;
-  std::int64_t newest_ = std::numeric_limits<std::int64_t>::min() / 2;
+  std::int64_t newestSlot_ = std::numeric_limits<std::int64_t>::min() / 2;
 };
 
-double RateOf(const BurnCounts& aCounts, double aTarget)
+double BurnRate(const BurnCounts& aCounts, double aTarget)
 {
   const double total = static_cast<double>(aCounts.met_ + aCounts.missed_);
   return total == 0
@@ -104,17 +110,18 @@
            : static_cast<double>(aCounts.missed_) / total / (1.0 - aTarget);
 }
 
-std::optional<minutes> SpentIn(double aBudgetLeft, double aRate)
+std::optional<minutes> TimeToExhaustion(double aBudgetRemaining, double aRate)
 {
-  if (aBudgetLeft <= 0) {
+  if (aBudgetRemaining <= 0) {
     return minutes(0);
   }
   if (aRate <= 0) {
     return std::nullopt;
   }
-  // In each period, a rate of 1 spends the whole budget.
+  // A burn rate of 1 exhausts the whole budget in one period.
   return minutes(static_cast<std::int64_t>(
-    aBudgetLeft / aRate * static_cast<double>(kBurnWindows.back().count())));
+    aBudgetRemaining / aRate *
+    static_cast<double>(kBurnWindows.back().count())));
 }
 
 BurnRow MakeRow(const BurnKey& aKey,
@@ -127,10 +134,11 @@
                             : aObjective.successShare_,
                .counts_ = aCounts };
   for (std::size_t window = 0; window < kBurnWindows.size(); ++window) {
-    row.rates_.at(window) = RateOf(aCounts.at(window), row.target_);
+    row.rates_.at(window) = BurnRate(aCounts.at(window), row.target_);
   }
-  row.budgetLeft_ = 1.0 - row.rates_.back();
-  row.spentIn_ = SpentIn(row.budgetLeft_, row.rates_.at(1));
+  row.budgetRemaining_ = 1.0 - row.rates_.back();
+  row.timeToExhaustion_ =
+    TimeToExhaustion(row.budgetRemaining_, row.rates_.at(1));
   return row;
 }
 
@@ -152,7 +160,7 @@
   }
 }
 
-// The two rings of one team and service.
+// The two ring buffers of one pair of team and service.
 class BurnLedger::SeriesCounts
 {
 public:
@@ -162,8 +170,8 @@
            TimePoint aNow)
   {
     const int outcome = OutcomeIndex(aObjective, aMet);
-    fine_.Add(aBand, outcome, aNow);
-    coarse_.Add(aBand, outcome, aNow);
+    minuteRing_.Add(aBand, outcome, aNow);
+    tenMinuteRing_.Add(aBand, outcome, aNow);
   }
 
   BurnWindowCounts Counts(std::size_t aBand,
@@ -173,7 +181,8 @@
     BurnWindowCounts counts;
     for (std::size_t window = 0; window < counts.size(); ++window) {
       const minutes length = kBurnWindows.at(window);
-      const SlotRing& ring = length <= kFineReach ? fine_ : coarse_;
+      const SlotRing& ring =
+        length <= kMinuteRingSpan ? minuteRing_ : tenMinuteRing_;
       counts.at(window) = {
         .met_ = ring.Sum(length, aBand, OutcomeIndex(aObjective, true), aNow),
         .missed_ =
@@ -183,13 +192,13 @@
     return counts;
   }
 
-  bool IsIdle(TimePoint aNow) const { return coarse_.IsIdle(aNow); }
+  bool IsIdle(TimePoint aNow) const { return tenMinuteRing_.IsIdle(aNow); }
 
 private:
-  static constexpr minutes kFineReach{ 30 };
+  static constexpr minutes kMinuteRingSpan{ 30 };
 
-  SlotRing fine_{ 30, minutes(1) };
-  SlotRing coarse_{ 36, minutes(10) };
+  SlotRing minuteRing_{ 30, minutes(1) };
+  SlotRing tenMinuteRing_{ 36, minutes(10) };
 };
 
 BurnLedger::BurnLedger(Options aOptions)
@@ -203,7 +212,7 @@
                         const ServiceObjective& aObjective,
                         TimePoint aNow)
 {
-  SeriesCounts& series = Find(aSample, aNow);
+  SeriesCounts& series = FindOrCreate(aSample, aNow);
   const std::size_t band = BandOf(aSample.promptTokens_);
   if (const auto& bound = aObjective.firstToken_.at(band)) {
     const bool met = aSample.firstToken_ && *aSample.firstToken_ <= *bound;
@@ -212,12 +221,12 @@
   series.Add(band, BurnObjective::kSuccess, aSample.succeeded_, aNow);
 }
 
-BurnLedger::SeriesCounts& BurnLedger::Find(const BurnSample& aSample,
-                                           TimePoint aNow)
+BurnLedger::SeriesCounts& BurnLedger::FindOrCreate(const BurnSample& aSample,
+                                                   TimePoint aNow)
 {
   SeriesKey key(aSample.team_, aSample.service_);
   if (!series_.contains(key) && series_.size() >= options_.maxSeries_) {
-    DropIdle(aNow);
+    EvictIdle(aNow);
     if (series_.size() >= options_.maxSeries_) {
       key.first = kOtherTeams;
     }
@@ -229,7 +238,7 @@
   return *series;
 }
 
-void BurnLedger::DropIdle(TimePoint aNow)
+void BurnLedger::EvictIdle(TimePoint aNow)
 {
   std::erase_if(series_, [aNow](const auto& aEntry) {
     return aEntry.second->IsIdle(aNow);
@@ -256,22 +265,23 @@
 std::vector<BurnRow> EvaluateBurn(const BurnTally& aTally,
                                   const ObjectivesByService& aObjectives)
 {
-  constexpr std::size_t kHour = 2; // in kBurnWindows
+  constexpr std::size_t kHour = 2; // index in kBurnWindows
   std::vector<BurnRow> rows;
-  std::map<std::string, double> worst;
+  std::map<std::string, double> worstRates;
   for (const auto& [key, counts] : aTally) {
     const auto objective = aObjectives.find(key.service_);
     if (objective != aObjectives.end()) {
       rows.push_back(MakeRow(key, counts, objective->second));
-      double& rate = worst[key.team_];
+      double& rate = worstRates[key.team_];
       rate = std::max(rate, rows.back().rates_.at(kHour));
     }
   }
   std::stable_sort(
     rows.begin(), rows.end(), [&](const BurnRow& aLeft, const BurnRow& aRight) {
       const auto order = [&](const BurnRow& aRow) {
-        return std::tuple(
-          -worst.at(aRow.key_.team_), aRow.key_.team_, -aRow.rates_.at(kHour));
+        return std::tuple(-worstRates.at(aRow.key_.team_),
+                          aRow.key_.team_,
+                          -aRow.rates_.at(kHour));
       };
       return order(aLeft) < order(aRight);
     });
--- a/src/core/gooseberrylift-config-change.cc
+++ b/src/core/gooseberrylift-config-change.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Turns lists whose items have names into objects by name, so that a changed
-// order or an inserted item does not show as a change of all that follow.
-json ByName(const json& aValue)
+// Converts arrays of named items into objects keyed by name, so that reordering
+// or inserting an item is not reported as a change of all items after it.
+json IndexByName(const json& aValue)
 {
   const bool named =
     aValue.is_array() && !aValue.empty() &&
@@ -20,23 +20,23 @@
   json result = named ? json::object() : aValue;
   if (named) {
     for (const json& item : aValue) {
-      result[item.at("name").get<std::string>()] = ByName(item);
+      result[item.at("name").get<std::string>()] = IndexByName(item);
     }
   } else if (aValue.is_object()) {
     for (const auto& [name, value] : aValue.items()) {
-      result[name] = ByName(value);
+      result[name] = IndexByName(value);
     }
   }
   return result;
 }
 
-// A key is as good as a password and does not belong on a screen.
-std::string Shown(const std::string& aPath, const json& aValue)
+// Formats a value for a diff. Keys are redacted, because they are credentials.
+std::string FormatValue(const std::string& aPath, const json& aValue)
 {
   return aPath.ends_with("/keys") ? "(keys)" : aValue.dump();
 }
 
-std::string Below(const std::string& aPath, const std::string& aName)
+std::string ChildPath(const std::string& aPath, const std::string& aName)
 {
   std::string path = aPath;
   path += '/';
@@ -44,30 +44,30 @@
   return path;
 }
 
-void Compare(const std::string& aPath,
-             const json& aFrom,
-             const json& aTo,
-             std::vector<std::string>& aLines)
+void CollectDifferences(const std::string& aPath,
+                        const json& aFrom,
+                        const json& aTo,
+                        std::vector<std::string>& aLines)
 {
   if (aFrom == aTo) {
     return;
   }
   if (!aFrom.is_object() || !aTo.is_object()) {
-    aLines.push_back("~ " + aPath + ": " + Shown(aPath, aFrom) + " -> " +
-                     Shown(aPath, aTo));
+    aLines.push_back("~ " + aPath + ": " + FormatValue(aPath, aFrom) + " -> " +
+                     FormatValue(aPath, aTo));
     return;
   }
   for (const auto& [name, value] : aFrom.items()) {
-    const std::string path = Below(aPath, name);
+    const std::string path = ChildPath(aPath, name);
     if (aTo.contains(name)) {
-      Compare(path, value, aTo.at(name), aLines);
+      CollectDifferences(path, value, aTo.at(name), aLines);
     } else {
       aLines.push_back("- " + path);
     }
   }
   for (const auto& [name, value] : aTo.items()) {
     if (!aFrom.contains(name)) {
-      aLines.push_back("+ " + Below(aPath, name));
+      aLines.push_back("+ " + ChildPath(aPath, name));
     }
   }
 }
@@ -142,7 +142,7 @@
 std::vector<std::string> DiffConfigurations(const json& aFrom, const json& aTo)
 {
   std::vector<std::string> lines;
-  Compare("", ByName(aFrom), ByName(aTo), lines);
+  CollectDifferences("", IndexByName(aFrom), IndexByName(aTo), lines);
   return lines;
 }
 
--- a/src/core/gooseberrylift-config.cc
+++ b/src/core/gooseberrylift-config.cc
@@ -75,7 +75,7 @@
   }
 })json";
 
-ServiceClass ClassOf(const std::string& aName)
+ServiceClass ServiceClassFromName(const std::string& aName)
 {
   if (aName == "urgent") {
     return ServiceClass::kUrgent;
@@ -83,7 +83,7 @@
   return aName == "batch" ? ServiceClass::kBatch : ServiceClass::kNormal;
 }
 
-ServiceObjective ReadObjective(const json& aItem)
+ServiceObjective ParseObjective(const json& aItem)
 {
   ServiceObjective objective;
   objective.firstTokenShare_ =
@@ -101,7 +101,7 @@
   return objective;
 }
 
-leaf::error_id Invalid(std::string aText)
+leaf::error_id InvalidConfiguration(std::string aText)
 {
   return leaf::new_error(Error{ .code_ = ResultCode::kConfigurationInvalid,
                                 .text_ = std::move(aText) });
@@ -109,8 +109,9 @@
 
 } // namespace
 
-// Fills a Configuration from JSON that already passed the schema, and checks
-// what a schema can't say: unique names, known references, no cycles.
+// Builds a Configuration from JSON that conforms to the schema, and validates
+// what the schema can't express: unique names, resolvable references and
+// acyclic dependencies.
 class ConfigurationParser
 {
 public:
@@ -119,7 +120,7 @@
   {
   }
 
-  leaf::result<void> Fill(const json& aDocument)
+  leaf::result<void> Load(const json& aDocument)
   {
     BOOST_LEAF_CHECK(AddTeams(aDocument.at("teams")));
     BOOST_LEAF_CHECK(AddPools(aDocument.at("pools")));
@@ -139,12 +140,13 @@
       };
       for (const std::string& key : team.keys_) {
         if (!target_.teamOfKey_.emplace(key, team.name_).second) {
-          return Invalid("teams/" + team.name_ + "/keys: a key stands twice");
+          return InvalidConfiguration("teams/" + team.name_ +
+                                      "/keys: duplicate key");
         }
       }
       const std::string name = team.name_;
       if (!target_.teams_.emplace(name, std::move(team)).second) {
-        return Invalid("teams/" + name + ": the name stands twice");
+        return InvalidConfiguration("teams/" + name + ": duplicate name");
       }
     }
     return {};
@@ -163,11 +165,12 @@
       };
       const std::string name = pool.name_;
       if (FindPlacement(pool.placement_) == nullptr) {
-        return Invalid("pools/" + name + "/placement: unknown strategy '" +
-                       pool.placement_ + "'");
+        return InvalidConfiguration("pools/" + name +
+                                    "/placement: unknown strategy '" +
+                                    pool.placement_ + "'");
       }
       if (!target_.pools_.emplace(name, std::move(pool)).second) {
-        return Invalid("pools/" + name + ": the name stands twice");
+        return InvalidConfiguration("pools/" + name + ": duplicate name");
       }
     }
     return {};
@@ -176,12 +179,12 @@
   leaf::result<void> AddServices(const json& aServices)
   {
     for (const json& item : aServices) {
-      BOOST_LEAF_CHECK(AddService(ReadService(item)));
+      BOOST_LEAF_CHECK(AddService(ParseService(item)));
     }
     return {};
   }
 
-  static ServiceConfig ReadService(const json& aItem)
+  static ServiceConfig ParseService(const json& aItem)
   {
     return ServiceConfig{
       .name_ = aItem.at("name"),
@@ -189,14 +192,14 @@
         aItem.at("kind") == "model" ? ServiceKind::kModel : ServiceKind::kPlain,
       .model_ = aItem.value("model", ""),
       .pool_ = aItem.at("pool"),
-      .class_ = ClassOf(aItem.value("class", "normal")),
+      .class_ = ServiceClassFromName(aItem.value("class", "normal")),
       .deadline_ =
         std::chrono::milliseconds(aItem.value("deadline_ms", 60'000)),
       .repeatableMethods_ = aItem.value("repeatable_methods",
                                         std::set<std::string>{ "GET", "HEAD" }),
       .dependsOn_ = aItem.value("depends_on", std::vector<std::string>{}),
       .objective_ = aItem.contains("objective")
-                      ? std::optional(ReadObjective(aItem.at("objective")))
+                      ? std::optional(ParseObjective(aItem.at("objective")))
                       : std::nullopt,
     };
   }
@@ -205,20 +208,23 @@
   {
     const std::string path = "services/" + aService.name_;
     if (!target_.pools_.contains(aService.pool_)) {
-      return Invalid(path + "/pool: unknown pool '" + aService.pool_ + "'");
+      return InvalidConfiguration(path + "/pool: unknown pool '" +
+                                  aService.pool_ + "'");
     }
     if (aService.kind_ == ServiceKind::kModel) {
       if (aService.model_.empty()) {
-        return Invalid(path + "/model: a model service names its model");
+        return InvalidConfiguration(path +
+                                    "/model: a model service requires a model");
       }
       if (!target_.serviceOfModel_.emplace(aService.model_, aService.name_)
              .second) {
-        return Invalid(path + "/model: another service serves it already");
+        return InvalidConfiguration(
+          path + "/model: already served by another service");
       }
     }
     const std::string name = aService.name_;
     if (!target_.services_.emplace(name, std::move(aService)).second) {
-      return Invalid(path + ": the name stands twice");
+      return InvalidConfiguration(path + ": duplicate name");
     }
     return {};
   }
@@ -227,33 +233,36 @@
   {
     for (const auto& [name, service] : target_.services_) {
       std::vector<std::string> path{ name };
-      BOOST_LEAF_CHECK(Walk(service, path));
+      BOOST_LEAF_CHECK(VisitDependencies(service, path));
     }
     return {};
   }
 
-  // Follows the dependencies depth first; aPath is the way from the start.
-  leaf::result<void> Walk(const ServiceConfig& aService,
-                          std::vector<std::string>& aPath)
+  // Depth-first search for dependency cycles. aPath holds the services from the
+  // root of the search to aService.
+  leaf::result<void> VisitDependencies(const ServiceConfig& aService,
+                                       std::vector<std::string>& aPath)
   {
-    if (done_.contains(aService.name_)) {
+    if (visited_.contains(aService.name_)) {
       return {};
     }
     for (const std::string& next : aService.dependsOn_) {
       const auto found = target_.services_.find(next);
       if (found == target_.services_.end()) {
-        return Invalid("services/" + aService.name_ +
-                       "/depends_on: unknown service '" + next + "'");
+        return InvalidConfiguration("services/" + aService.name_ +
+                                    "/depends_on: unknown service '" + next +
+                                    "'");
       }
       if (std::find(aPath.begin(), aPath.end(), next) != aPath.end()) {
-        return Invalid("services/" + aService.name_ +
-                       "/depends_on: a cycle: " + Join(aPath) + " > " + next);
+        return InvalidConfiguration(
+          "services/" + aService.name_ +
+          "/depends_on: dependency cycle: " + Join(aPath) + " > " + next);
       }
       aPath.push_back(next);
-      BOOST_LEAF_CHECK(Walk(found->second, aPath));
+      BOOST_LEAF_CHECK(VisitDependencies(found->second, aPath));
       aPath.pop_back();
     }
-    done_.insert(aService.name_);
+    visited_.insert(aService.name_);
     return {};
   }
 
@@ -267,7 +276,7 @@
   }
 
   Configuration& target_;
-  std::set<std::string> done_;
+  std::set<std::string> visited_;
 };
 
 std::string_view Configuration::Schema()
@@ -280,15 +289,15 @@
 {
   const json document = json::parse(aText, nullptr, false);
   if (document.is_discarded()) {
-    return Invalid("not JSON");
+    return InvalidConfiguration("not valid JSON");
   }
-  if (const auto fault = FindSchemaFault(document, kSchema)) {
-    return Invalid(*fault);
+  if (const auto violation = FindSchemaViolation(document, kSchema)) {
+    return InvalidConfiguration(*violation);
   }
   auto configuration = std::make_shared<Configuration>();
   configuration->generation_ = aGeneration;
   configuration->text_ = aText;
-  BOOST_LEAF_CHECK(ConfigurationParser(*configuration).Fill(document));
+  BOOST_LEAF_CHECK(ConfigurationParser(*configuration).Load(document));
   return Configuration::Ptr(std::move(configuration));
 }
 
--- a/src/core/gooseberrylift-digest-codec.cc
+++ b/src/core/gooseberrylift-digest-codec.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-// The numbers on the wire; they never change their meaning.
+// The wire encoding of EndpointState. The values must not change, because hosts
+// of different versions exchange them.
 constexpr int kWireLive = 0;
 constexpr int kWireLeaving = 1;
 constexpr int kWireDead = 2;
 
-int WireOf(EndpointState aState)
+int StateToWire(EndpointState aState)
 {
   switch (aState) {
     case EndpointState::kLeaving:
@@ -24,7 +25,7 @@
   return kWireLive;
 }
 
-EndpointState StateOf(int aWire)
+EndpointState StateFromWire(int aWire)
 {
   if (aWire == kWireLeaving) {
     return EndpointState::kLeaving;
@@ -44,7 +45,7 @@
   json list = json::array();
   for (const EndpointDigest& endpoint : aEndpoints) {
     list.push_back(
-      { endpoint.name_, endpoint.incarnation_, WireOf(endpoint.state_) });
+      { endpoint.name_, endpoint.incarnation_, StateToWire(endpoint.state_) });
   }
   return list;
 }
@@ -89,12 +90,12 @@
   return found != aDocument.end() && found->is_array() ? *found : kEmpty;
 }
 
-void ReadLists(const json& aDocument, Digest& aDigest)
+void ParseLists(const json& aDocument, Digest& aDigest)
 {
   for (const json& item : ListOf(aDocument, "e")) {
     aDigest.endpoints_.push_back({ .name_ = item.at(0),
                                    .incarnation_ = item.at(1),
-                                   .state_ = StateOf(item.at(2)) });
+                                   .state_ = StateFromWire(item.at(2)) });
   }
   for (const json& item : ListOf(aDocument, "q")) {
     const std::chrono::milliseconds until(item.at(3).get<std::int64_t>());
@@ -169,8 +170,8 @@
   if (aDigest.keysProven_) {
     document["k"] = true;
   }
-  if (aDigest.zoneHosts_ > 0) {
-    document["n"] = aDigest.zoneHosts_;
+  if (aDigest.zoneHostCount_ > 0) {
+    document["n"] = aDigest.zoneHostCount_;
   }
   return document;
 }
@@ -180,7 +181,8 @@
   if (!aDocument.is_object()) {
     return {};
   }
-  // A wrong type throws; a peer's message is wholly taken or wholly refused.
+  // A field of the wrong type throws, so that a malformed digest is rejected as
+  // a whole instead of being applied in part.
   try {
     Digest digest{
       .host_ = aDocument.value("h", ""),
@@ -194,9 +196,9 @@
       .storeReachable_ = aDocument.value("o", false),
       .draining_ = aDocument.value("l", false),
       .keysProven_ = aDocument.value("k", false),
-      .zoneHosts_ = aDocument.value("n", std::size_t{ 0 }),
+      .zoneHostCount_ = aDocument.value("n", std::size_t{ 0 }),
     };
-    ReadLists(aDocument, digest);
+    ParseLists(aDocument, digest);
     return digest;
   } catch (const json::exception&) {
     return {};
--- a/src/core/gooseberrylift-event-limit.cc
+++ b/src/core/gooseberrylift-event-limit.cc
@@ -8,16 +8,16 @@
 {
   const auto second =
     std::chrono::floor<std::chrono::seconds>(aNow.time_since_epoch());
-  if (second != second_) {
-    second_ = second;
-    passed_ = 0;
+  if (second != currentSecond_) {
+    currentSecond_ = second;
+    admitted_ = 0;
   }
-  if (passed_ >= options_.perSecond_) {
-    ++leftOut_;
+  if (admitted_ >= options_.perSecond_) {
+    ++suppressed_;
     return std::nullopt;
   }
-  ++passed_;
-  return std::exchange(leftOut_, 0);
+  ++admitted_;
+  return std::exchange(suppressed_, 0);
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-peer-table.cc
+++ b/src/core/gooseberrylift-peer-table.cc
@@ -8,22 +8,24 @@
 
 namespace {
 
-// Above the small size, one round in so many goes beyond the own zone when
-// there is nothing new; news goes out at once through PickForNews.
-constexpr std::uint64_t kRoundsPerFarPeer = 2;
+// In a large fleet, one in this many rounds also contacts a host of another
+// zone. New generations don't wait for it: PickForNews selects peers at once.
+constexpr std::uint64_t kRoundsPerOutOfZonePeer = 2;
 
-// Hosts whose heartbeats a zone can pass on each second within the budget.
+// The number of hosts whose heartbeats a zone can relay per round within the
+// byte budget.
 constexpr std::size_t kHeartbeatsPerRound = 16;
 
-// A host that was heard of within so many heartbeats is told to one that has
-// just started; far hosts are heard of now and then.
-constexpr int kLatelyFactor = 100;
+// A host that was heard from within this many heartbeat intervals is reported
+// to a host that has just started. The value is high because hosts of other
+// zones are heard from infrequently.
+constexpr int kRecentlyHeardHeartbeats = 100;
 
-// A silent host is kept this many times longer than it counts as live, so that
-// a paused one is found again without the store.
-constexpr int kKeepGoneFactor = 60;
+// A host that stopped responding is kept for this many times the failure
+// timeout, so that a paused host is found again without the store.
+constexpr int kRetentionFactor = 60;
 
-bool SameBesidesDemand(const Digest& aLeft, const Digest& aRight)
+bool EqualIgnoringDemand(const Digest& aLeft, const Digest& aRight)
 {
   const auto sameEndpoint = [](const EndpointDigest& aOne,
                                const EndpointDigest& aOther) {
@@ -85,7 +87,8 @@
 {
   std::vector<PeerMember> members = aMembers;
   std::shuffle(members.begin(), members.end(), random_);
-  // The own zone first, so that the room for others is counted beside it.
+  // Process the own zone first, so that its hosts don't count towards the limit
+  // for other zones.
   std::stable_partition(
     members.begin(), members.end(), [this](const PeerMember& aMember) {
       return aMember.zone_ == options_.zone_;
@@ -93,12 +96,12 @@
   for (const PeerMember& member : members) {
     const bool known = entries_.contains(member.host_);
     if (member.host_ == options_.host_ || member.address_.empty() ||
-        (!known && !HasRoomFor(member.zone_))) {
+        (!known && !HasCapacityFor(member.zone_))) {
       continue;
     }
     Entry& entry = entries_[member.host_];
-    near_ += !known && member.zone_ == options_.zone_ ? 1 : 0;
-    entry.listed_ = aNow;
+    hostsInScope_ += !known && member.zone_ == options_.zone_ ? 1 : 0;
+    entry.lastListed_ = aNow;
     if (entry.member_.host_.empty() ||
         member.incarnation_ > entry.member_.incarnation_) {
       entry.member_ = member;
@@ -108,92 +111,94 @@
 
 void PeerTable::SetOwn(Digest aOwn, TimePoint aNow)
 {
-  // After a pause of this process, silence says nothing of the others: without
-  // this shift a continued host would take all its peers for gone at once and,
-  // for one round, claim each team's whole limit for itself.
+  // While this process was suspended it received no digests, so the gap must
+  // not count towards the failure timeout of its peers. Without this adjustment
+  // a resumed host would consider all its peers failed and, for one round, use
+  // the whole limit of each team by itself.
   const auto gap = aNow - lastRound_;
   if (rounds_ > 0 && gap > 2 * Round()) {
     for (auto& [name, entry] : entries_) {
-      entry.heard_ += gap - Round();
+      entry.lastHeard_ += gap - Round();
     }
   }
   lastRound_ = aNow;
   ++rounds_;
-  near_ = CountNear();
+  hostsInScope_ = CountInScope();
   aOwn.host_ = own_.host_;
   aOwn.zone_ = own_.zone_;
   aOwn.region_ = own_.region_;
   aOwn.peerAddress_ = own_.peerAddress_;
   aOwn.incarnation_ = own_.incarnation_;
   aOwn.sequence_ = own_.sequence_;
-  aOwn.zoneHosts_ = ZoneHosts()[own_.zone_] + 1;
-  if (!SameBesidesDemand(aOwn, own_) || aNow - lastBeat_ >= Heartbeat()) {
+  aOwn.zoneHostCount_ = ZoneHosts()[own_.zone_] + 1;
+  if (!EqualIgnoringDemand(aOwn, own_) ||
+      aNow - lastHeartbeat_ >= Heartbeat()) {
     ++aOwn.sequence_;
-    lastBeat_ = aNow;
+    lastHeartbeat_ = aNow;
   }
   own_ = std::move(aOwn);
-  ForgetGone(aNow);
+  EvictExpired(aNow);
 }
 
 std::vector<PeerMember> PeerTable::PickPeers()
 {
-  std::vector<const Entry*> near;
-  std::vector<const Entry*> far;
+  std::vector<const Entry*> inScope;
+  std::vector<const Entry*> outOfScope;
   for (const auto& [name, entry] : entries_) {
-    (InScope(entry.member_.zone_) ? near : far).push_back(&entry);
+    (InScope(entry.member_.zone_) ? inScope : outOfScope).push_back(&entry);
   }
   std::vector<PeerMember> picked;
-  PickOne(near, picked);
+  SelectRandomPeer(inScope, picked);
   if (IsSmall()) {
     for (std::size_t partner = 1; partner < options_.partners_; ++partner) {
-      PickOne(near, picked);
+      SelectRandomPeer(inScope, picked);
     }
-  } else if (rounds_ % kRoundsPerFarPeer == 0) {
-    PickOne(far, picked);
+  } else if (rounds_ % kRoundsPerOutOfZonePeer == 0) {
+    SelectRandomPeer(outOfScope, picked);
   }
   return picked;
 }
 
 std::vector<PeerMember> PeerTable::PickForNews(std::size_t aCount)
 {
-  std::vector<const Entry*> behind;
+  std::vector<const Entry*> outdated;
   for (const auto& [name, entry] : entries_) {
     if (entry.digest_.generation_ < own_.generation_) {
-      behind.push_back(&entry);
+      outdated.push_back(&entry);
     }
   }
   std::vector<PeerMember> picked;
   for (std::size_t count = 0; count < aCount; ++count) {
-    PickOne(behind, picked);
+    SelectRandomPeer(outdated, picked);
   }
   return picked;
 }
 
 std::vector<PeerMember> PeerTable::PickNear(std::size_t aCount)
 {
-  std::vector<PeerMember> near;
+  std::vector<PeerMember> inScope;
   for (const auto& [name, entry] : entries_) {
     if (InScope(entry.member_.zone_) && IsLive(entry, lastRound_)) {
-      near.push_back(entry.member_);
+      inScope.push_back(entry.member_);
     }
   }
-  std::shuffle(near.begin(), near.end(), random_);
-  near.resize(std::min(near.size(), aCount));
-  return near;
+  std::shuffle(inScope.begin(), inScope.end(), random_);
+  inScope.resize(std::min(inScope.size(), aCount));
+  return inScope;
 }
 
-void PeerTable::PickOne(const std::vector<const Entry*>& aFrom,
-                        std::vector<PeerMember>& aPicked)
+void PeerTable::SelectRandomPeer(const std::vector<const Entry*>& aFrom,
+                                 std::vector<PeerMember>& aPicked)
 {
   if (aFrom.empty()) {
     return;
   }
   const PeerMember& member = aFrom[random_() % aFrom.size()]->member_;
-  const bool twice =
+  const bool alreadyPicked =
     std::any_of(aPicked.begin(), aPicked.end(), [&](const PeerMember& aOther) {
       return aOther.host_ == member.host_;
     });
-  if (!twice) {
+  if (!alreadyPicked) {
     aPicked.push_back(member);
   }
 }
@@ -218,10 +223,10 @@
                     candidates.begin() + static_cast<std::ptrdiff_t>(count),
                     candidates.end(),
                     [](const Entry* aLeft, const Entry* aRight) {
-                      return aLeft->told_ < aRight->told_;
+                      return aLeft->relayCount_ < aRight->relayCount_;
                     });
   for (std::size_t index = 0; index < count; ++index) {
-    ++candidates[index]->told_;
+    ++candidates[index]->relayCount_;
     message.relayed_.push_back(candidates[index]->digest_);
   }
   return message;
@@ -230,19 +235,19 @@
 PeerNews PeerTable::OnMessage(const PeerMessage& aMessage, TimePoint aNow)
 {
   PeerNews news{ .generation_ = aMessage.from_.generation_ };
-  news.changed_ = Learn(aMessage.from_, aNow);
+  news.changed_ = MergeDigest(aMessage.from_, aNow);
   for (const Digest& digest : aMessage.relayed_) {
-    news.changed_ = Learn(digest, aNow) || news.changed_;
+    news.changed_ = MergeDigest(digest, aNow) || news.changed_;
   }
   return news;
 }
 
-bool PeerTable::Learn(const Digest& aDigest, TimePoint aNow)
+bool PeerTable::MergeDigest(const Digest& aDigest, TimePoint aNow)
 {
   if (aDigest.host_.empty() || aDigest.host_ == options_.host_) {
     return false;
   }
-  if (!entries_.contains(aDigest.host_) && !HasRoomFor(aDigest.zone_)) {
+  if (!entries_.contains(aDigest.host_) && !HasCapacityFor(aDigest.zone_)) {
     return false;
   }
   Entry& entry = entries_[aDigest.host_];
@@ -255,8 +260,8 @@
                     .region_ = aDigest.region_,
                     .address_ = aDigest.peerAddress_,
                     .incarnation_ = aDigest.incarnation_ };
-  entry.heard_ = aNow;
-  entry.told_ = 0;
+  entry.lastHeard_ = aNow;
+  entry.relayCount_ = 0;
   return true;
 }
 
@@ -264,7 +269,7 @@
 {
   const auto found = entries_.find(aHost);
   if (found != entries_.end()) {
-    found->second.heard_ = std::max(found->second.heard_, aNow);
+    found->second.lastHeard_ = std::max(found->second.lastHeard_, aNow);
   }
 }
 
@@ -293,7 +298,7 @@
   std::vector<PeerMember> heard;
   for (const auto& [name, entry] : entries_) {
     if (!entry.digest_.host_.empty() &&
-        aNow - entry.heard_ < kLatelyFactor * Heartbeat()) {
+        aNow - entry.lastHeard_ < kRecentlyHeardHeartbeats * Heartbeat()) {
       heard.push_back(entry.member_);
     }
   }
@@ -312,10 +317,10 @@
 std::size_t PeerTable::FleetSize() const
 {
   const std::map<std::string, std::size_t> known = ZoneHosts();
-  std::map<std::string, std::size_t> told;
+  std::map<std::string, std::size_t> reported;
   for (const auto& [name, entry] : entries_) {
-    std::size_t& most = told[entry.member_.zone_];
-    most = std::max(most, entry.digest_.zoneHosts_);
+    std::size_t& largest = reported[entry.member_.zone_];
+    largest = std::max(largest, entry.digest_.zoneHostCount_);
   }
   std::size_t size = 0;
   for (const auto& [zone, count] : known) {
@@ -323,9 +328,11 @@
       size += count;
       continue;
     }
-    // Until one of its hosts was heard a zone counts as large as this one.
-    const std::size_t there = told[zone] > 0 ? told[zone] : own_.zoneHosts_;
-    size += std::max(count, there);
+    // Until one of its hosts has reported a count, a zone is assumed to be as
+    // large as the own one.
+    const std::size_t reportedHosts =
+      reported[zone] > 0 ? reported[zone] : own_.zoneHostCount_;
+    size += std::max(count, reportedHosts);
   }
   return size;
 }
@@ -335,7 +342,7 @@
   return IsSmall() || aZone == options_.zone_;
 }
 
-std::size_t PeerTable::CountNear() const
+std::size_t PeerTable::CountInScope() const
 {
   return static_cast<std::size_t>(
     std::count_if(entries_.begin(), entries_.end(), [this](const auto& aEntry) {
@@ -343,30 +350,30 @@
     }));
 }
 
-bool PeerTable::HasRoomFor(const std::string& aZone) const
+bool PeerTable::HasCapacityFor(const std::string& aZone) const
 {
   return aZone == options_.zone_ || entries_.size() < kSmallFleet ||
-         entries_.size() - near_ < kFarPeers;
+         entries_.size() - hostsInScope_ < kMaxOutOfZonePeers;
 }
 
 milliseconds PeerTable::Heartbeat() const
 {
-  const auto rounds = static_cast<int>(near_ / kHeartbeatsPerRound);
+  const auto rounds = static_cast<int>(hostsInScope_ / kHeartbeatsPerRound);
   return std::max(Round(), options_.round_ * rounds);
 }
 
 bool PeerTable::IsLive(const Entry& aEntry, TimePoint aNow) const
 {
   return !aEntry.digest_.host_.empty() &&
-         aNow - aEntry.heard_ < options_.roundsUntilGone_ * Heartbeat();
+         aNow - aEntry.lastHeard_ < options_.roundsUntilGone_ * Heartbeat();
 }
 
-void PeerTable::ForgetGone(TimePoint aNow)
+void PeerTable::EvictExpired(TimePoint aNow)
 {
-  const auto keep = kKeepGoneFactor * options_.roundsUntilGone_ * Heartbeat();
+  const auto keep = kRetentionFactor * options_.roundsUntilGone_ * Heartbeat();
   std::erase_if(entries_, [&](const auto& aEntry) {
     const Entry& entry = aEntry.second;
-    return aNow - std::max(entry.heard_, entry.listed_) > keep;
+    return aNow - std::max(entry.lastHeard_, entry.lastListed_) > keep;
   });
 }
 
--- a/src/core/gooseberrylift-schema.cc
+++ b/src/core/gooseberrylift-schema.cc
@@ -9,8 +9,8 @@
 
 namespace gooseberrylift {
 
-std::optional<std::string> FindSchemaFault(const nlohmann::json& aDocument,
-                                           std::string_view aSchema)
+std::optional<std::string> FindSchemaViolation(const nlohmann::json& aDocument,
+                                               std::string_view aSchema)
 {
   const nlohmann::json schemaDocument = nlohmann::json::parse(aSchema);
   valijson::Schema schema;
@@ -23,15 +23,15 @@
         schema, valijson::adapters::NlohmannJsonAdapter(aDocument), &results)) {
     return std::nullopt;
   }
-  // valijson reports outer faults after the inner ones that caused them, so
-  // the first names the path most exactly.
-  valijson::ValidationResults::Error fault;
-  results.popError(fault);
+  // valijson reports a nested violation before the enclosing ones that follow
+  // from it, so the first error has the most specific path.
+  valijson::ValidationResults::Error violation;
+  results.popError(violation);
   std::string path;
-  for (const std::string& step : fault.context) {
-    path += step;
+  for (const std::string& component : violation.context) {
+    path += component;
   }
-  return path + ": " + fault.description;
+  return path + ": " + violation.description;
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-settings.cc
+++ b/src/core/gooseberrylift-settings.cc
@@ -130,7 +130,7 @@
   }
 })json";
 
-leaf::error_id Invalid(std::string aText)
+leaf::error_id InvalidSettings(std::string aText)
 {
   return leaf::new_error(
     Error{ .code_ = ResultCode::kSettingsInvalid, .text_ = std::move(aText) });
@@ -141,68 +141,68 @@
   return aAddress.starts_with("127.") || aAddress == "::1";
 }
 
-// Reads one listener; aKeys is filled when the section has some.
-ListenSettings ReadListener(const json& aSection,
-                            std::vector<std::string>* aKeys = nullptr)
+// Parses a listener section. Stores its "keys" in aKeys if that is not null.
+ListenSettings ParseListener(const json& aSection,
+                             std::vector<std::string>* aKeys = nullptr)
 {
   if (aKeys != nullptr) {
     *aKeys = aSection.value("keys", std::vector<std::string>{});
   }
   ListenSettings listen{ .address_ = aSection.value("address", "127.0.0.1"),
                          .port_ = aSection.value("port", std::uint16_t{ 0 }) };
-  const std::string both = aSection.value("listen", "");
-  if (!both.empty()) {
-    const std::size_t colon = both.rfind(':'); // the schema asks for one
-    listen.address_ = both.substr(0, colon);
+  const std::string combined = aSection.value("listen", "");
+  if (!combined.empty()) {
+    const std::size_t colon = combined.rfind(':'); // required by the schema
+    listen.address_ = combined.substr(0, colon);
     listen.port_ =
-      static_cast<std::uint16_t>(std::atoi(both.c_str() + colon + 1));
+      static_cast<std::uint16_t>(std::atoi(combined.c_str() + colon + 1));
   }
   return listen;
 }
 
-milliseconds ReadTime(const json& aSection,
-                      const char* aName,
-                      milliseconds aDefault)
+milliseconds ParseMilliseconds(const json& aSection,
+                               const char* aName,
+                               milliseconds aDefault)
 {
   return milliseconds(
     aSection.value(aName, static_cast<std::int64_t>(aDefault.count())));
 }
 
-void ReadCaller(const json& aSection, Settings& aSettings)
+void ParseCaller(const json& aSection, Settings& aSettings)
 {
-  aSettings.caller_ = ReadListener(aSection);
+  aSettings.caller_ = ParseListener(aSection);
   aSettings.maxBodyBytes_ =
     aSection.value("max_body_bytes", aSettings.maxBodyBytes_);
   aSettings.maxHeaderBytes_ =
     aSection.value("max_header_bytes", aSettings.maxHeaderBytes_);
   aSettings.headerTimeout_ =
-    ReadTime(aSection, "header_timeout_ms", aSettings.headerTimeout_);
+    ParseMilliseconds(aSection, "header_timeout_ms", aSettings.headerTimeout_);
   aSettings.bodyTimeout_ =
-    ReadTime(aSection, "body_timeout_ms", aSettings.bodyTimeout_);
+    ParseMilliseconds(aSection, "body_timeout_ms", aSettings.bodyTimeout_);
   aSettings.writeTimeout_ =
-    ReadTime(aSection, "write_timeout_ms", aSettings.writeTimeout_);
+    ParseMilliseconds(aSection, "write_timeout_ms", aSettings.writeTimeout_);
 }
 
-GatewaySettings ReadGateway(const json& aSection)
+GatewaySettings ParseGateway(const json& aSection)
 {
   GatewaySettings gateway;
   gateway.strictRevocation_ =
     aSection.value("strict_revocation", gateway.strictRevocation_);
   gateway.revokeWithin_ =
-    ReadTime(aSection, "revoke_ms", gateway.revokeWithin_);
+    ParseMilliseconds(aSection, "revoke_ms", gateway.revokeWithin_);
   gateway.retryRatio_ = aSection.value("retry_ratio", gateway.retryRatio_);
   gateway.retryWindow_ =
-    ReadTime(aSection, "retry_window_ms", gateway.retryWindow_);
+    ParseMilliseconds(aSection, "retry_window_ms", gateway.retryWindow_);
   gateway.retryAllowance_ =
     aSection.value("retry_allowance", gateway.retryAllowance_);
   gateway.longestHold_ =
-    ReadTime(aSection, "hold_max_ms", gateway.longestHold_);
+    ParseMilliseconds(aSection, "hold_max_ms", gateway.longestHold_);
   gateway.relaysStore_ = aSection.value("store_relay", gateway.relaysStore_);
   gateway.evacuations_ = aSection.value("evacuations", gateway.evacuations_);
   return gateway;
 }
 
-Settings Read(const json& aDocument)
+Settings ParseDocument(const json& aDocument)
 {
   const json empty = json::object();
   const auto section = [&](const char* aName) -> const json& {
@@ -212,30 +212,32 @@
   settings.hostName_ = section("host").at("name");
   settings.zone_ = section("host").at("zone");
   settings.region_ = section("host").value("region", "");
-  ReadCaller(section("caller"), settings);
+  ParseCaller(section("caller"), settings);
   settings.caller_.maxConnections_ = section("caller").value(
     "max_connections", settings.caller_.maxConnections_);
-  settings.admin_ = ReadListener(section("admin"), &settings.adminKeys_);
-  settings.ready_ = ReadListener(section("ready"));
+  settings.admin_ = ParseListener(section("admin"), &settings.adminKeys_);
+  settings.ready_ = ParseListener(section("ready"));
   if (aDocument.contains("gateway")) {
-    settings.gateway_ = ReadGateway(aDocument.at("gateway"));
+    settings.gateway_ = ParseGateway(aDocument.at("gateway"));
   }
-  settings.peer_ = ReadListener(section("peer"), &settings.peerKeys_);
+  settings.peer_ = ParseListener(section("peer"), &settings.peerKeys_);
   settings.peerSeeds_ =
     section("peer").value("seeds", std::vector<std::string>{});
   settings.storeAddresses_ = section("store").at("addresses");
   settings.hostListAddress_ = section("host_list").value("address", "");
   settings.hostListPoll_ =
-    ReadTime(section("host_list"), "poll_ms", settings.hostListPoll_);
-  settings.loadPoll_ = ReadTime(aDocument, "load_poll_ms", settings.loadPoll_);
+    ParseMilliseconds(section("host_list"), "poll_ms", settings.hostListPoll_);
+  settings.loadPoll_ =
+    ParseMilliseconds(aDocument, "load_poll_ms", settings.loadPoll_);
   settings.threads_ = aDocument.value("threads", settings.threads_);
-  settings.drainLag_ = ReadTime(section("drain"), "lag_ms", settings.drainLag_);
+  settings.drainLag_ =
+    ParseMilliseconds(section("drain"), "lag_ms", settings.drainLag_);
   settings.drainLimit_ =
-    ReadTime(section("drain"), "limit_ms", settings.drainLimit_);
+    ParseMilliseconds(section("drain"), "limit_ms", settings.drainLimit_);
   settings.onceMaxBatch_ =
     section("once").value("max_batch", settings.onceMaxBatch_);
   settings.jobLease_ =
-    ReadTime(section("jobs"), "lease_ms", settings.jobLease_);
+    ParseMilliseconds(section("jobs"), "lease_ms", settings.jobLease_);
   settings.logLevel_ = section("log").value("level", settings.logLevel_);
   return settings;
 }
@@ -251,25 +253,27 @@
 {
   const json document = json::parse(aText, nullptr, false);
   if (document.is_discarded()) {
-    return Invalid("<root>: not JSON");
+    return InvalidSettings("<root>: not valid JSON");
   }
-  if (const auto fault = FindSchemaFault(document, kSchema)) {
-    return Invalid(*fault);
+  if (const auto violation = FindSchemaViolation(document, kSchema)) {
+    return InvalidSettings(*violation);
   }
-  Settings settings = Read(document);
-  // An open port without a key would let anyone on the network drain hosts or
-  // feed them a forged state.
+  Settings settings = ParseDocument(document);
   if (!settings.gateway_ && settings.hostListAddress_.empty()) {
-    return Invalid("<root>: missing required property 'host_list'");
+    return InvalidSettings("<root>: missing required property 'host_list'");
   }
   if (settings.gateway_) {
-    return settings; // its hosts find their keys in the store
+    return settings; // gateways get their keys from the store
   }
+  // Without keys, anyone who can reach the admin or peer port could drain hosts
+  // or send them forged state.
   if (!IsLoopback(settings.admin_.address_) && settings.adminKeys_.empty()) {
-    return Invalid("<root>[admin]: keys are needed off the loopback address");
+    return InvalidSettings(
+      "<root>[admin]: keys are required on a non-loopback address");
   }
   if (!IsLoopback(settings.peer_.address_) && settings.peerKeys_.empty()) {
-    return Invalid("<root>[peer]: keys are needed off the loopback address");
+    return InvalidSettings(
+      "<root>[peer]: keys are required on a non-loopback address");
   }
   return settings;
 }
--- a/src/core/gooseberrylift-text-table.cc
+++ b/src/core/gooseberrylift-text-table.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr std::size_t kGap = 2;
-constexpr std::size_t kNarrowest = 6; // a shortened cell still says something
+constexpr std::size_t kColumnGap = 2;
+constexpr std::size_t kMinColumnWidth = 6; // keeps truncated cells readable
 
-// Counts characters, not the bytes of their UTF-8 form.
-std::size_t WidthOf(const std::string& aText)
+// Returns the number of UTF-8 code points.
+std::size_t DisplayWidth(const std::string& aText)
 {
   return static_cast<std::size_t>(
     std::count_if(aText.begin(), aText.end(), [](char aByte) {
@@ -19,20 +19,20 @@
     }));
 }
 
-std::string Shorten(const std::string& aText, std::size_t aWidth)
+std::string Truncate(const std::string& aText, std::size_t aWidth)
 {
-  if (WidthOf(aText) <= aWidth) {
+  if (DisplayWidth(aText) <= aWidth) {
     return aText;
   }
-  std::string kept = aText;
-  while (WidthOf(kept) >= aWidth) {
-    // The first byte of a character goes last.
-    while ((static_cast<unsigned char>(kept.back()) & 0xC0U) == 0x80U) {
-      kept.pop_back();
+  std::string truncated = aText;
+  while (DisplayWidth(truncated) >= aWidth) {
+    // Remove the continuation bytes of a code point before its first byte.
+    while ((static_cast<unsigned char>(truncated.back()) & 0xC0U) == 0x80U) {
+      truncated.pop_back();
     }
-    kept.pop_back();
+    truncated.pop_back();
   }
-  return kept + "~";
+  return truncated + "~";
 }
 
 } // namespace
@@ -48,30 +48,30 @@
   rows_.push_back(std::move(aCells));
 }
 
-std::vector<std::size_t> TextTable::Widths() const
+std::vector<std::size_t> TextTable::ColumnWidths() const
 {
   std::vector<std::size_t> widths;
   for (std::size_t column = 0; column < columns_.size(); ++column) {
-    std::size_t width = WidthOf(columns_.at(column).heading_);
+    std::size_t width = DisplayWidth(columns_.at(column).heading_);
     for (const auto& row : rows_) {
-      width = std::max(width, WidthOf(row.at(column)));
+      width = std::max(width, DisplayWidth(row.at(column)));
     }
     widths.push_back(width);
   }
   const auto total = [&widths] {
     return std::accumulate(widths.begin(), widths.end(), std::size_t{ 0 }) +
-           kGap * (widths.size() - 1);
+           kColumnGap * (widths.size() - 1);
   };
   while (total() > kWidth) {
     std::size_t widest = columns_.size();
     for (std::size_t column = 0; column < columns_.size(); ++column) {
       const bool wider =
         widest == columns_.size() || widths.at(column) > widths.at(widest);
-      if (!columns_.at(column).right_ && wider) {
+      if (!columns_.at(column).rightAligned_ && wider) {
         widest = column;
       }
     }
-    if (widest == columns_.size() || widths.at(widest) <= kNarrowest) {
+    if (widest == columns_.size() || widths.at(widest) <= kMinColumnWidth) {
       break;
     }
     --widths.at(widest);
@@ -79,19 +79,20 @@
   return widths;
 }
 
-std::string TextTable::Line(const std::vector<std::string>& aCells,
-                            const std::vector<std::size_t>& aWidths) const
+std::string TextTable::FormatLine(const std::vector<std::string>& aCells,
+                                  const std::vector<std::size_t>& aWidths) const
 {
   std::string line;
   for (std::size_t column = 0; column < columns_.size(); ++column) {
-    const std::string cell = columns_.at(column).right_
-                               ? aCells.at(column)
-                               : Shorten(aCells.at(column), aWidths.at(column));
-    const std::size_t width = WidthOf(cell);
-    const std::string fill(
+    const std::string cell =
+      columns_.at(column).rightAligned_
+        ? aCells.at(column)
+        : Truncate(aCells.at(column), aWidths.at(column));
+    const std::size_t width = DisplayWidth(cell);
+    const std::string padding(
       aWidths.at(column) > width ? aWidths.at(column) - width : 0, ' ');
-    line += column == 0 ? "" : std::string(kGap, ' ');
-    line += columns_.at(column).right_ ? fill + cell : cell + fill;
+    line += column == 0 ? "" : std::string(kColumnGap, ' ');
+    line += columns_.at(column).rightAligned_ ? padding + cell : cell + padding;
   }
   line.erase(line.find_last_not_of(' ') + 1);
   return line + "\n";
@@ -99,14 +100,14 @@
 
 std::string TextTable::Text() const
 {
-  const std::vector<std::size_t> widths = Widths();
+  const std::vector<std::size_t> widths = ColumnWidths();
   std::vector<std::string> headings;
   for (const Column& column : columns_) {
     headings.push_back(column.heading_);
   }
-  std::string text = Line(headings, widths);
+  std::string text = FormatLine(headings, widths);
   for (const auto& row : rows_) {
-    text += Line(row, widths);
+    text += FormatLine(row, widths);
   }
   return text;
 }
--- a/test/core/gooseberrylift-burn-test.cc
+++ b/test/core/gooseberrylift-burn-test.cc
@@ -13,6 +13,7 @@
 
 namespace {
 
+// Indices in kBurnWindows.
 constexpr std::size_t kFiveMinutes = 0;
 constexpr std::size_t kHalfHour = 1;
 constexpr std::size_t kHour = 2;
@@ -53,20 +54,20 @@
         return row;
       }
     }
-    FAIL("no row of success");
+    FAIL("no row for the success objective");
     return {};
   }
 };
 
-// Worked by hand, with 1 in 100 allowed to fail:
+// Expected values, computed by hand for a success target of 99 %:
 //   -5 h     900 met, 0 missed
 //   -50 min   50 met, 0 missed
 //   -20 min   46 met, 2 missed
 //   now        1 met, 1 missed
 //   5 min: 1/2 / 0.01 = 50          30 min: 3/50 / 0.01 = 6
 //   1 h: 3/100 / 0.01 = 3           6 h: 3/1000 / 0.01 = 0.3
-//   budget left 0.7; at the 30 min rate it lasts 0.7 / 6 * 360 = 42 min
-TEST(BurnTest, AgreesWithFiguresWorkedByHand)
+//   remaining budget 0.7; at the 30 min rate it lasts 0.7 / 6 * 360 = 42 min
+TEST(BurnTest, ComputesRatesAndRemainingBudget)
 {
   const TimePoint now = start_ + 5h;
   Record(900, 0, start_);
@@ -78,11 +79,11 @@
   DOUBLES_EQUAL(6.0, row.rates_.at(kHalfHour), 1e-9);
   DOUBLES_EQUAL(3.0, row.rates_.at(kHour), 1e-9);
   DOUBLES_EQUAL(0.3, row.rates_.at(kSixHours), 1e-9);
-  DOUBLES_EQUAL(0.7, row.budgetLeft_, 1e-9);
-  LONGS_EQUAL(42, row.spentIn_.value().count());
+  DOUBLES_EQUAL(0.7, row.budgetRemaining_, 1e-9);
+  LONGS_EQUAL(42, row.timeToExhaustion_.value().count());
 }
 
-TEST(BurnTest, ForgetsCountsThatLeftTheirWindow)
+TEST(BurnTest, ExcludesCountsOutsideTheWindow)
 {
   Record(0, 5, start_);
   const BurnRow later = SuccessRow(start_ + 6min);
@@ -91,10 +92,9 @@
   CHECK_TRUE(ledger_.Tally(start_ + 7h).empty());
 }
 
-// Slots are used again after six hours. Were an old slot not emptied when the
-// ring comes round to it, misses of the morning would burn the evening's
-// budget a second time.
-TEST(BurnTest, CountsNothingTwiceWhenTheRingComesRound)
+// A ring buffer slot is reused after six hours. If it were not cleared first,
+// old misses would be counted again as current ones.
+TEST(BurnTest, ClearsReusedRingBufferSlots)
 {
   Record(0, 5, start_);
   Record(1, 0, start_ + 6h);
@@ -103,10 +103,10 @@
   LONGS_EQUAL(1, row.counts_.at(kSixHours).met_);
 }
 
-TEST(BurnTest, JudgesTheFirstTokenByTheBoundOfItsBand)
+TEST(BurnTest, AppliesTheFirstTokenBoundOfThePromptBand)
 {
   BurnSample sample = Sample("a", true);
-  sample.firstToken_ = 400ms; // over the bound of le4k, within that of le10k
+  sample.firstToken_ = 400ms; // above the bound of le4k, within that of le10k
   ledger_.Record(sample, objective_, start_);
   sample.promptTokens_ = 5000;
   ledger_.Record(sample, objective_, start_);
@@ -122,7 +122,7 @@
   CHECK_FALSE(tally.contains({ "a", "chat", 2, BurnObjective::kFirstToken }));
 }
 
-TEST(BurnTest, CountsARequestWithoutAnyTokenAsMissed)
+TEST(BurnTest, CountsARequestWithoutAFirstTokenAsMissed)
 {
   BurnSample sample = Sample("a", false);
   sample.firstToken_ = std::nullopt;
@@ -132,11 +132,11 @@
            .at(kHour) == BurnCounts{ .missed_ = 1 }));
 }
 
-// Three hosts see a third of the requests each. Their merged report must be
-// the one that a single host would have given for all, whatever the order.
-TEST(BurnTest, MergesHostsToExactlyWhatOneHostWouldCount)
+// Distributes requests over three hosts. The merged counts must equal those of
+// a single host that recorded all requests, regardless of the merge order.
+TEST(BurnTest, MergedCountsEqualThoseOfASingleHost)
 {
-  std::mt19937 generator(7); // the seed
+  std::mt19937 generator(7);
   std::array<BurnLedger, 3> hosts{ BurnLedger({}),
                                    BurnLedger({}),
                                    BurnLedger({}) };
@@ -168,7 +168,7 @@
   CHECK(sentTimes.Filled() == allTimes.Filled());
 }
 
-TEST(BurnTest, PutsTheWorstTeamFirst)
+TEST(BurnTest, SortsTeamsByBurnRate)
 {
   ledger_.Record(Sample("calm", true), objective_, start_);
   ledger_.Record(Sample("burning", true), objective_, start_);
@@ -180,16 +180,15 @@
   STRCMP_EQUAL("calm", rows.back().key_.team_.c_str());
 }
 
-// More teams come than the host has room for. Without a bound its memory would
-// grow with them; the rest is counted together, and room that fell idle is
-// given to new teams.
-TEST(BurnTest, KeepsItsMemoryBoundedAndStillCountsEveryRequest)
+// Memory must not grow with the number of teams: teams above the limit are
+// aggregated, and idle series are evicted to make room for new teams.
+TEST(BurnTest, LimitsSeriesAndAggregatesFurtherTeams)
 {
   BurnLedger small({ .maxSeries_ = 2 });
   for (const char* team : { "a", "b", "c", "d" }) {
     small.Record(Sample(team, true), objective_, start_);
   }
-  LONGS_EQUAL(3, small.Series());
+  LONGS_EQUAL(3, small.SeriesCount());
   const BurnTally tally = small.Tally(start_);
   LONGS_EQUAL(
     2,
@@ -197,12 +196,13 @@
       .at(kHour)
       .met_);
   small.Record(Sample("e", true), objective_, start_ + 7h);
-  LONGS_EQUAL(1, small.Series());
+  LONGS_EQUAL(1, small.SeriesCount());
 }
 
-TEST(BurnTest, PrintsNamesWholeWithin80Columns)
+TEST(BurnTest, PrintsFullNamesWithin80Columns)
 {
-  objective_.successShare_ = 0.9995; // a failure is then a rate of 2000
+  // A single miss out of one request is then a burn rate of 2000.
+  objective_.successShare_ = 0.9995;
   BurnSample sample = Sample("front-desk", false);
   sample.service_ = "room-state";
   ledger_.Record(sample, objective_, start_);
@@ -219,7 +219,7 @@
   }
 }
 
-TEST(BurnTest, ReadsBackTheDocumentThatItWrote)
+TEST(BurnTest, ParsesItsOwnSerializedDocument)
 {
   Record(3, 1, start_);
   BurnDocument document{ .hosts_ = { "entry-1" },
@@ -235,7 +235,7 @@
   CHECK_FALSE(ParseBurnDocument(R"({"hosts":[]})").has_value());
 }
 
-TEST(BurnTest, GivesAQuantileWithinAQuarter)
+TEST(BurnTest, EstimatesQuantilesWithin26Percent)
 {
   FirstTokenHistogram histogram;
   for (int count = 1; count <= 100; ++count) {
--- a/test/core/gooseberrylift-config-test.cc
+++ b/test/core/gooseberrylift-config-test.cc
@@ -13,8 +13,9 @@
 
 namespace {
 
-// The text of the fault that Parse found; empty when it found none.
-std::string FaultOf(const std::string& aText)
+// Returns the error text of Configuration::Parse, or an empty string if the
+// configuration is valid.
+std::string ParseError(const std::string& aText)
 {
   return boost::leaf::try_handle_all(
     [&]() -> boost::leaf::result<std::string> {
@@ -25,7 +26,7 @@
       CHECK(aError.code_ == ResultCode::kConfigurationInvalid);
       return aError.text_;
     },
-    [] { return std::string("no Error was given"); });
+    [] { return std::string("no Error object"); });
 }
 
 std::string WithServices(const std::string& aServices)
@@ -43,45 +44,49 @@
 {
   STRCMP_EQUAL(
     "",
-    FaultOf(WithServices(R"({"name":"s","kind":"plain","pool":"p"})")).c_str());
+    ParseError(WithServices(R"({"name":"s","kind":"plain","pool":"p"})"))
+      .c_str());
 }
 
-TEST(ConfigurationTest, NamesThePathOfASchemaFault)
+TEST(ConfigurationTest, ReportsThePathOfASchemaViolation)
 {
   STRCMP_CONTAINS(
     "[services][0]",
-    FaultOf(WithServices(R"({"name":"s","kind":"odd","pool":"p"})")).c_str());
+    ParseError(WithServices(R"({"name":"s","kind":"odd","pool":"p"})"))
+      .c_str());
 }
 
-TEST(ConfigurationTest, RefusesAnUnknownPool)
+TEST(ConfigurationTest, RejectsAnUnknownPool)
 {
   STRCMP_EQUAL(
     "services/s/pool: unknown pool 'q'",
-    FaultOf(WithServices(R"({"name":"s","kind":"plain","pool":"q"})")).c_str());
+    ParseError(WithServices(R"({"name":"s","kind":"plain","pool":"q"})"))
+      .c_str());
 }
 
-TEST(ConfigurationTest, RefusesAnUnknownPlacementWithItsPath)
+TEST(ConfigurationTest, RejectsAnUnknownPlacementStrategy)
 {
   STRCMP_EQUAL("pools/p/placement: unknown strategy 'best'",
-               FaultOf(R"({"teams":[{"name":"t","keys":["12345678"]}],)"
-                       R"("pools":[{"name":"p","placement":"best"}],)"
-                       R"("services":[]})")
+               ParseError(R"({"teams":[{"name":"t","keys":["12345678"]}],)"
+                          R"("pools":[{"name":"p","placement":"best"}],)"
+                          R"("services":[]})")
                  .c_str());
 }
 
-TEST(ConfigurationTest, NamesTheWholePathOfADependencyCycle)
+TEST(ConfigurationTest, ReportsAllServicesOfADependencyCycle)
 {
-  const std::string fault = FaultOf(WithServices(
+  const std::string error = ParseError(WithServices(
     R"({"name":"a","kind":"plain","pool":"p","depends_on":["b"]},)"
     R"({"name":"b","kind":"plain","pool":"p","depends_on":["c"]},)"
     R"({"name":"c","kind":"plain","pool":"p","depends_on":["a"]})"));
-  STRCMP_EQUAL("services/c/depends_on: a cycle: a > b > c > a", fault.c_str());
+  STRCMP_EQUAL("services/c/depends_on: dependency cycle: a > b > c > a",
+               error.c_str());
 }
 
-TEST(ConfigurationTest, RefusesAKeyOfTwoTeams)
+TEST(ConfigurationTest, RejectsAKeySharedByTwoTeams)
 {
-  const std::string fault =
-    FaultOf(R"({"teams":[{"name":"t","keys":["12345678"]},)"
-            R"({"name":"u","keys":["12345678"]}],"pools":[],"services":[]})");
-  STRCMP_EQUAL("teams/u/keys: a key stands twice", fault.c_str());
+  const std::string error = ParseError(
+    R"({"teams":[{"name":"t","keys":["12345678"]},)"
+    R"({"name":"u","keys":["12345678"]}],"pools":[],"services":[]})");
+  STRCMP_EQUAL("teams/u/keys: duplicate key", error.c_str());
 }
