--- a/test/core/gooseberrylift-config-change-test.cc
+++ b/test/core/gooseberrylift-config-change-test.cc
@@ -7,23 +7,23 @@
 
 TEST_GROUP(ConfigChangeTest){};
 
-TEST(ConfigChangeTest, NumbersAboveEveryGenerationInForce)
+TEST(ConfigChangeTest, NumbersChangesAboveTheHighestGenerationInForce)
 {
-  const StoredConfiguration putBack{ .generation_ = 3 };
-  LONGS_EQUAL(8, *NextGeneration(putBack, { .base_ = 7, .highestKnown_ = 7 }));
-  CHECK_FALSE(NextGeneration(putBack, { .base_ = 3, .highestKnown_ = 7 }));
+  const StoredConfiguration restored{ .generation_ = 3 };
+  LONGS_EQUAL(8, *NextGeneration(restored, { .base_ = 7, .highestKnown_ = 7 }));
+  CHECK_FALSE(NextGeneration(restored, { .base_ = 3, .highestKnown_ = 7 }));
 }
 
-TEST(ConfigChangeTest, RefusesABaseThatIsNotTheNewest)
+TEST(ConfigChangeTest, RejectsABaseThatIsNotTheNewest)
 {
   const StoredConfiguration stored{ .generation_ = 3 };
   CHECK_FALSE(NextGeneration(stored, { .base_ = 2, .highestKnown_ = 2 }));
   CHECK_FALSE(NextGeneration(stored, { .base_ = 4, .highestKnown_ = 3 }));
 }
 
-// The answer to a write was lost and others wrote since; the writer must still
-// find that its change was taken.
-TEST(ConfigChangeTest, FindsAChangeUnderLaterOnesAndKeepsABound)
+// If the response to a write is lost and other writes follow, the writer must
+// still be able to determine that its change was accepted.
+TEST(ConfigChangeTest, FindsAnEarlierChangeAndLimitsTheHistory)
 {
   StoredConfiguration stored;
   for (std::uint64_t number = 1; number <= 150; ++number) {
@@ -37,7 +37,7 @@
   CHECK_FALSE(stored.FindChange("n50"));
 }
 
-TEST(ConfigChangeTest, ComparesNamedItemsWhateverTheirOrderAndHidesKeys)
+TEST(ConfigChangeTest, MatchesItemsByNameAndRedactsKeys)
 {
   const json from = json::parse(
     R"({"teams":[{"name":"a","weight":1},{"name":"b","keys":["secret-1"]}]})");
--- a/test/core/gooseberrylift-event-limit-test.cc
+++ b/test/core/gooseberrylift-event-limit-test.cc
@@ -7,9 +7,9 @@
 
 TEST_GROUP(EventLimitTest){};
 
-// Every request of an overload logs its refusal. The first few of a second are
-// written; the next second tells how many were not, so no count is lost.
-TEST(EventLimitTest, LeavesOutTheRestOfASecondAndTellsHowMany)
+// Under overload every request logs a rejection. Only the first few per second
+// are written; the next second reports how many were suppressed.
+TEST(EventLimitTest, SuppressesExcessEventsAndReportsTheirNumber)
 {
   EventLimit limit({ .perSecond_ = 3 });
   const TimePoint start{ 100s };
--- a/test/core/gooseberrylift-peer-table-test.cc
+++ b/test/core/gooseberrylift-peer-table-test.cc
@@ -1,4 +1,4 @@
-// The exchange of digests between many hosts, on virtual time.
+// Simulates the exchange of digests between many hosts in virtual time.
 
 #include "gooseberrylift/gooseberrylift-peer-table.h"
 
@@ -18,7 +18,7 @@
 
 constexpr std::uint64_t kSeed = 20261;
 
-// A fleet whose hosts exchange without loss. One round is one second.
+// A simulated fleet without message loss. One round takes one second.
 class Fleet
 {
 public:
@@ -87,7 +87,7 @@
   }
 
   void Stop(std::size_t aHost, bool aStopped) { stopped_[aHost] = aStopped; }
-  std::size_t LiveTo(std::size_t aHost) const
+  std::size_t LivePeersOf(std::size_t aHost) const
   {
     return tables_[aHost]->Live(now_).size();
   }
@@ -170,9 +170,9 @@
 
 TEST_GROUP(PeerTableTest){};
 
-// A configuration must be everywhere within 9 s at 2,000 hosts, also when the
-// store's watches tell nobody.
-TEST(PeerTableTest, SpreadsAGenerationInFewRoundsUpToTwoThousandHosts)
+// A configuration must reach all of 2,000 hosts within 9 s, even if no host is
+// notified by a watch of the store.
+TEST(PeerTableTest, PropagatesAGenerationWithinNineRoundsAtTwoThousandHosts)
 {
   const int sizes[][2] = { { 9, 3 }, { 100, 9 }, { 500, 18 }, { 2000, 27 } };
   for (const auto& [hosts, zones] : sizes) {
@@ -188,19 +188,19 @@
   }
 }
 
-TEST(PeerTableTest, KeepsToItsBudgetOfBytesAtTwoThousandHosts)
+TEST(PeerTableTest, StaysWithinTheByteBudgetAtTwoThousandHosts)
 {
   constexpr int kHosts = 2000;
   constexpr int kRounds = 6;
   Fleet fleet(kHosts, 27, true);
   for (int round = 0; round < 6; ++round) {
-    fleet.Round(); // until the digests have gone round
+    fleet.Round(); // reach a steady state
   }
   fleet.StartCounting();
   for (int round = 0; round < kRounds; ++round) {
     fleet.Round();
   }
-  // Each message is sent by one host and received by another.
+  // Each message counts twice: for its sender and for its receiver.
   const double perHost = 2.0 * fleet.Bytes() / kHosts / kRounds;
   std::printf("digest bytes a second and host, sent and received: %.0f in "
               "%.2f messages\n",
@@ -209,11 +209,10 @@
   CHECK_TRUE(perHost < 6000);
 }
 
-// A host stops and comes back. The others drop it within the stated rounds
-// and take it in again at its first word; nobody else is dropped meanwhile.
-// What a fleet may repeat in all is split by its hosts: one that took the fleet
-// for smaller than it is would repeat too much.
-TEST(PeerTableTest, KnowsTheSizeOfAFleetThatItFollowsOnlyInPart)
+// The fleet-wide retry budget is divided by the number of hosts. A host that
+// underestimates the fleet, because it follows only a part of it, would retry
+// too much.
+TEST(PeerTableTest, EstimatesTheSizeOfAPartlyFollowedFleet)
 {
   Fleet fleet(295, 5, false);
   for (int round = 0; round < 20; ++round) {
@@ -225,29 +224,32 @@
   }
 }
 
-TEST(PeerTableTest, DropsAStoppedHostAndTakesItBack)
+// A stopped host is considered failed within the configured number of rounds
+// and live again at its first digest. No other host is considered failed
+// meanwhile.
+TEST(PeerTableTest, DetectsAFailedHostAndItsReturn)
 {
   Fleet fleet(9, 3, true);
   for (int round = 0; round < 5; ++round) {
     fleet.Round();
   }
-  LONGS_EQUAL(8, fleet.LiveTo(0));
+  LONGS_EQUAL(8, fleet.LivePeersOf(0));
   fleet.Stop(4, true);
   for (int round = 0; round < 10; ++round) {
     fleet.Round();
   }
-  LONGS_EQUAL(7, fleet.LiveTo(0));
+  LONGS_EQUAL(7, fleet.LivePeersOf(0));
   fleet.Stop(4, false);
   for (int round = 0; round < 5; ++round) {
     fleet.Round();
   }
-  LONGS_EQUAL(8, fleet.LiveTo(0));
-  LONGS_EQUAL(8, fleet.LiveTo(4));
+  LONGS_EQUAL(8, fleet.LivePeersOf(0));
+  LONGS_EQUAL(8, fleet.LivePeersOf(4));
 }
 
-// A process that was paused long must not take the whole fleet for gone when
-// it goes on: it would claim each team's whole limit for itself.
-TEST(PeerTableTest, HoldsPeersForLiveRightAfterItsOwnPause)
+// A process that resumes after a long suspension must not consider all its
+// peers failed: it would use the whole limit of each team by itself.
+TEST(PeerTableTest, KeepsPeersLiveAfterItsOwnSuspension)
 {
   PeerTable table({ .host_ = "a", .zone_ = "z" });
   const TimePoint start{ seconds(1000) };
@@ -258,22 +260,24 @@
   LONGS_EQUAL(1, table.Live(start + seconds(60)).size());
 }
 
-// A late copy of a host's word must not undo its newer one.
-TEST(PeerTableTest, IgnoresALateDigest)
+// A delayed digest must not replace a newer one of the same host.
+TEST(PeerTableTest, IgnoresADelayedDigest)
 {
   PeerTable table({ .host_ = "a", .zone_ = "z" });
   const TimePoint now{ seconds(1000) };
   table.SetOwn({}, now);
-  Digest word{ .host_ = "b", .zone_ = "z", .incarnation_ = 2, .sequence_ = 7 };
-  word.generation_ = 9;
-  CHECK_TRUE(table.OnMessage({ .from_ = word }, now).changed_);
-  word.sequence_ = 6;
-  word.generation_ = 8;
-  CHECK_FALSE(table.OnMessage({ .from_ = word }, now).changed_);
+  Digest peerDigest{
+    .host_ = "b", .zone_ = "z", .incarnation_ = 2, .sequence_ = 7
+  };
+  peerDigest.generation_ = 9;
+  CHECK_TRUE(table.OnMessage({ .from_ = peerDigest }, now).changed_);
+  peerDigest.sequence_ = 6;
+  peerDigest.generation_ = 8;
+  CHECK_FALSE(table.OnMessage({ .from_ = peerDigest }, now).changed_);
   LONGS_EQUAL(9, table.Live(now).front().generation_);
 }
 
-TEST(PeerTableTest, ReadsBackWhatItWroteOfADigest)
+TEST(PeerTableTest, ParsesItsOwnSerializedDigest)
 {
   Digest digest{ .host_ = "h", .zone_ = "z", .generation_ = 4 };
   digest.endpoints_.push_back({ .name_ = "engine-1",
--- a/test/core/gooseberrylift-text-table-test.cc
+++ b/test/core/gooseberrylift-text-table-test.cc
@@ -8,7 +8,7 @@
 
 TEST_GROUP(TextTableTest){};
 
-TEST(TextTableTest, LinesUpItsColumns)
+TEST(TextTableTest, AlignsColumns)
 {
   TextTable table({ { "HOST" }, { "WAITING", true } });
   table.Add({ "entry-1", "5" });
@@ -19,14 +19,15 @@
                table.Text().c_str());
 }
 
-TEST(TextTableTest, KeepsTo80ColumnsAndEveryNumber)
+TEST(TextTableTest, TruncatesTextTo80ColumnsButNoNumbers)
 {
   TextTable table({ { "NAME" }, { "WHY" }, { "COUNT", true } });
   table.Add({ std::string(70, 'n'), std::string(90, 'w'), "123456789" });
   table.Add({ "Käyttö", "ok", "1" });
   std::istringstream text(table.Text());
   for (std::string line; std::getline(text, line);) {
-    CHECK(line.size() <= 82); // the umlauts take two bytes each
+    // 80 columns; each of the two umlauts takes two bytes.
+    CHECK(line.size() <= 82);
   }
   STRCMP_CONTAINS("~  ", table.Text().c_str());
   STRCMP_CONTAINS("123456789\n", table.Text().c_str());
