--- a/bench/gooseberrylift-bench-fleet.cc
+++ b/bench/gooseberrylift-bench-fleet.cc
@@ -78,7 +78,7 @@
     hosts_.push_back(std::make_unique<Host>(index, scheduler));
     hosts_.back()->missedPolls_.resize(engines_.size());
     Host* host = hosts_.back().get();
-    host->scheduler_.SetHosts(static_cast<std::size_t>(options_.hosts_));
+    host->scheduler_.SetHostCount(static_cast<std::size_t>(options_.hosts_));
     Report(*host);
     // Hosts poll at different moments, as real ones do.
     At(options_.reportEvery_ * index / options_.hosts_,
--- a/bench/gooseberrylift-pass-bench-main.cc
+++ b/bench/gooseberrylift-pass-bench-main.cc
@@ -105,15 +105,15 @@
   int engines = 0;
   PassOptions options;
   std::int64_t round = options.round_.count();
-  std::int64_t harm = options.placement_.harm_.count();
+  std::int64_t harm = options.placement_.tightGapPenalty_.count();
   const std::map<std::string, PassStrategy> strategies = {
     { "placed", PassStrategy::kPlaced },
     { "least-outstanding", PassStrategy::kLeastOutstanding },
     { "round-robin", PassStrategy::kRoundRobin }
   };
-  std::int64_t missed = options.placement_.missed_.count();
+  std::int64_t missed = options.placement_.missedObjectivePenalty_.count();
   std::int64_t holdWait = options.hold_.allowedWait_.count();
-  std::int64_t harmOther = options.placement_.harmOther_.count();
+  std::int64_t harmOther = options.placement_.otherGapPenalty_.count();
   app.add_option(
     "--site",
     site,
@@ -144,33 +144,33 @@
   app.add_option("--zones", zones, "in place of the site's");
   app.add_option("--engines", engines, "in place of the site's");
   app.add_option("--harm-ms", harm, "weight of a request made late");
-  app.add_option("--comfortable", options.placement_.comfortable_);
-  app.add_option("--wait-share", options.placement_.waitShare_);
-  app.add_option("--read-share", options.placement_.readShare_);
-  app.add_option("--most-engines", options.placement_.mostEngines_);
+  app.add_option("--comfortable", options.placement_.targetOccupancy_);
+  app.add_option("--wait-share", options.placement_.acceptableWaitShare_);
+  app.add_option("--read-share", options.placement_.prefillTargetShare_);
+  app.add_option("--most-engines", options.placement_.maxEngines_);
   app.add_option("--harm-other-ms", harmOther, "the same with longer gaps");
   app.add_option("--missed-ms", missed, "weight of a missed objective");
-  app.add_option("--alike-share", options.placement_.alikeShare_);
-  app.add_option("--useful-share", options.placement_.usefulShare_);
+  app.add_option("--alike-share", options.placement_.tieMarginShare_);
+  app.add_option("--useful-share", options.placement_.missThresholdShare_);
   app.add_option("--holds", options.holds_, "hold long prompts");
   app.add_option("--hold-wait-ms", holdWait, "allowed wait of a long one");
-  app.add_option("--hold-latest", options.hold_.latestShare_);
-  app.add_option("--hold-least", options.hold_.leastFactor_);
+  app.add_option("--hold-latest", options.hold_.maxHoldShare_);
+  app.add_option("--hold-least", options.hold_.minFactor_);
   app.add_option(
-    "--hold-own-read", options.hold_.ownRead_, "kept for its read");
-  std::int64_t lastWait = options.hold_.lastWait_.count();
+    "--hold-own-read", options.hold_.ownPrefillFactor_, "kept for its read");
+  std::int64_t lastWait = options.hold_.finalAllowedWait_.count();
   app.add_option("--hold-last-wait-ms", lastWait, "allowed wait at the end");
-  app.add_option("--hold-most", options.hold_.mostFactor_);
-  app.add_option("--lane-spare", options.placement_.laneSpare_);
-  app.add_option("--kept-for-long", options.placement_.keptForLong_);
-  app.add_option("--spare-for-short", options.placement_.spareForShort_);
-  app.add_option("--spare-beyond", options.placement_.spareBeyond_);
+  app.add_option("--hold-most", options.hold_.maxFactor_);
+  app.add_option("--lane-spare", options.placement_.laneHeadroom_);
+  app.add_option("--kept-for-long", options.placement_.reservedForLongShare_);
+  app.add_option("--spare-for-short", options.placement_.spareForShortShare_);
+  app.add_option("--spare-beyond", options.placement_.spareThresholdFactor_);
   app.add_option("--defers", options.defers_, "late ones go last");
   app.add_option("--knows-queues", options.knowsQueues_, "bear queues");
   app.add_option("--in-time-share", options.placement_.inTimeShare_);
-  app.add_option("--long-read", options.placement_.longRead_);
-  app.add_option("--held-harm", options.placement_.heldHarm_);
-  app.add_option("--late-factor", options.hold_.lateFactor_);
+  app.add_option("--long-read", options.placement_.longPrefillShare_);
+  app.add_option("--held-harm", options.placement_.waitPenaltyShare_);
+  app.add_option("--late-factor", options.hold_.missedObjectiveFactor_);
   const std::map<std::string, PassLimitMode> modes = {
     { "ignored", PassLimitMode::kIgnored },
     { "avoided", PassLimitMode::kAvoided },
@@ -190,11 +190,12 @@
   app.add_flag("--json", json, "a JSON object a line");
   CLI11_PARSE(app, aCount, aArguments);
   options.round_ = std::chrono::milliseconds(round);
-  options.placement_.harm_ = std::chrono::milliseconds(harm);
-  options.placement_.missed_ = std::chrono::milliseconds(missed);
-  options.hold_.lastWait_ = std::chrono::milliseconds(lastWait);
+  options.placement_.tightGapPenalty_ = std::chrono::milliseconds(harm);
+  options.placement_.missedObjectivePenalty_ =
+    std::chrono::milliseconds(missed);
+  options.hold_.finalAllowedWait_ = std::chrono::milliseconds(lastWait);
   options.hold_.allowedWait_ = std::chrono::milliseconds(holdWait);
-  options.placement_.harmOther_ = std::chrono::milliseconds(harmOther);
+  options.placement_.otherGapPenalty_ = std::chrono::milliseconds(harmOther);
   options.sums_ = std::chrono::milliseconds(betweenSums);
   options.wordDelay_ = std::chrono::milliseconds(wordDelay);
   options.whole_ = std::chrono::milliseconds(whole);
--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -55,7 +55,8 @@
   }
   const PlacementRequest wanted{ .promptTokens_ = aRequest->prompt_,
                                  .answerTokens_ = static_cast<std::uint64_t>(
-                                   aRequest->events_ * site_.figures_.stride_),
+                                   aRequest->events_ *
+                                   site_.figures_.stepsPerPass_),
                                  .objective_ = kind.objective_,
                                  .maxGap_ = kind.maxGap_,
                                  .draw_ = random_() };
@@ -73,26 +74,26 @@
   }
   return PlacementChoice{ .endpoint_ = best->endpoint_,
                           .cost_ = { .memoryTokens_ = aRequest->prompt_,
-                                     .read_ = site_.figures_.ReadTime(
+                                     .prefill_ = site_.figures_.PrefillTime(
                                        aRequest->prompt_) } };
 }
 
-HoldVerdict PassPlayer::Judge(const PassRequestPtr& aRequest,
-                              const PlacementChoice& aChoice) const
+HoldDecision PassPlayer::Judge(const PassRequestPtr& aRequest,
+                               const PlacementChoice& aChoice) const
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
   const milliseconds held((clock_.Now() - aRequest->came_) / 1000);
-  const HoldQuestion question{ .wait_ = aChoice.wait_,
-                               .read_ =
-                                 site_.figures_.ReadTime(aRequest->prompt_),
-                               .part_ = aChoice.cost_.read_,
-                               .waited_ = held,
-                               .remaining_ = kind.deadline_ - waited,
-                               .patience_ =
-                                 CallerPatience(RouteOf(aRequest->class_)),
-                               .objective_ = kind.objective_ };
-  return HoldLong(question, options_.hold_);
+  const HoldInput question{ .wait_ = aChoice.wait_,
+                            .prefill_ =
+                              site_.figures_.PrefillTime(aRequest->prompt_),
+                            .partialPrefill_ = aChoice.cost_.prefill_,
+                            .sinceArrival_ = held,
+                            .remaining_ = kind.deadline_ - waited,
+                            .callerStallTimeout_ =
+                              CallerStallTimeout(RouteOf(aRequest->class_)),
+                            .objective_ = kind.objective_ };
+  return DecideLongPromptHold(question, options_.hold_);
 }
 
 // Sends a request back that can't be served, and lets its caller return once.
@@ -102,12 +103,12 @@
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
   const milliseconds held((clock_.Now() - aRequest->came_) / 1000);
-  const auto wait =
-    RefuseFor({ .predicted_ = aChoice.firstAnswer_,
-                .remaining_ = kind.deadline_ - waited,
-                .patience_ = CallerPatience(RouteOf(aRequest->class_)),
-                .held_ = held,
-                .draw_ = random_() });
+  const auto wait = RetryDelayIfRefused(
+    { .predicted_ = aChoice.firstAnswer_,
+      .remaining_ = kind.deadline_ - waited,
+      .callerStallTimeout_ = CallerStallTimeout(RouteOf(aRequest->class_)),
+      .held_ = held,
+      .draw_ = random_() });
   if (!wait) {
     return false;
   }
@@ -119,7 +120,7 @@
 {
   const PassClass& kind = site_.classes_[aRequest.class_];
   const milliseconds waited((clock_.Now() - aRequest.arrived_) / 1000);
-  return LatestReturnOf(kind.deadline_ - waited);
+  return MaxRetryDelay(kind.deadline_ - waited);
 }
 
 // Its caller returns once.
@@ -150,19 +151,20 @@
     End(aRequest, false);
     return;
   }
-  const HoldVerdict verdict = options_.holds_ && choice->long_
-                                ? Judge(aRequest, *choice)
-                                : HoldVerdict::kSend;
-  if (verdict == HoldVerdict::kGiveUp) {
+  const HoldDecision verdict = options_.holds_ && choice->long_
+                                 ? Judge(aRequest, *choice)
+                                 : HoldDecision::kSend;
+  if (verdict == HoldDecision::kReject) {
     SendBack(aRequest, LatestReturn(*aRequest));
     return;
   }
-  if (verdict == HoldVerdict::kHold) {
-    clock_.After(options_.hold_.step_.count() * 1000, [this, aRequest] {
-      if (!aRequest->done_) {
-        Send(aRequest);
-      }
-    });
+  if (verdict == HoldDecision::kHold) {
+    clock_.After(options_.hold_.recheckInterval_.count() * 1000,
+                 [this, aRequest] {
+                   if (!aRequest->done_) {
+                     Send(aRequest);
+                   }
+                 });
     return;
   }
   const bool placed = options_.strategy_ == PassStrategy::kPlaced;
@@ -177,24 +179,24 @@
     host.load_.OnSent(helper->id_, aRequest->id_, choice->helperCost_, now);
     aRequest->helpers_.push_back(helper->id_);
   }
-  const bool isLong = choice->cost_.read_ > milliseconds(100);
+  const bool isLong = choice->cost_.prefill_ > milliseconds(100);
   if (isLong ? options_.tells_ : options_.tellsShort_) {
     TellPlaced(aRequest->host_, *choice);
   }
   aRequest->deferred_ = choice->deferred_;
-  aRequest->held_.assign(choice->helpers_.size(), choice->heldTokens_);
+  aRequest->held_.assign(choice->helpers_.size(), choice->reservedTokens_);
   TakeMemory(aRequest, 0);
 }
 
-EndpointSigns PassPlayer::SignsOf(const PassRequestPtr& aRequest) const
+EndpointActivity PassPlayer::SignsOf(const PassRequestPtr& aRequest) const
 {
   const PassHost& host = hosts_[aRequest->host_];
   const EndpointLoad load = host.load_.Of(aRequest->engine_, At(clock_));
   const std::int64_t heard = std::max(aRequest->sent_, aRequest->heard_);
-  return { .silentHere_ = milliseconds((clock_.Now() - heard) / 1000),
-           .silent_ = host.load_.SilentFor(aRequest->engine_, At(clock_)),
-           .silentToPeers_ =
-             host.load_.SilentToPeersFor(aRequest->engine_, At(clock_)),
+  return { .requestSilence_ = milliseconds((clock_.Now() - heard) / 1000),
+           .hostSilence_ = host.load_.SilentFor(aRequest->engine_, At(clock_)),
+           .peerSilence_ =
+             host.load_.ShortestPeerSilence(aRequest->engine_, At(clock_)),
            .begun_ = aRequest->heard_ > aRequest->sent_,
            .overtaken_ =
              host.load_.IsOvertaken(aRequest->engine_, aRequest->id_),
@@ -217,21 +219,21 @@
     }
     PassHost& host = hosts_[aRequest->host_];
     if (options_.knowsQueues_ &&
-        !LooksHung(SignsOf(aRequest),
-                   SilenceLimit(RouteOf(aRequest->class_)))) {
+        !IsRequestStalled(SignsOf(aRequest),
+                          EndpointStallTimeout(RouteOf(aRequest->class_)))) {
       constexpr milliseconds kLookAgain{ 250 };
       Watch(aRequest, aSince, kLookAgain);
       return;
     }
     if (aRequest->sends_ < kMostSends &&
-        host.repeats_.TryRepeat("engines", hosts_.size(), At(clock_))) {
+        host.repeats_.TryRetry("engines", hosts_.size(), At(clock_))) {
       ++results_[aRequest->class_].repeats_;
       Leave(aRequest);
       aRequest->tried_.insert(aRequest->engine_);
       Send(aRequest);
     }
   });
-  const milliseconds patience = CallerPatience(RouteOf(aRequest->class_));
+  const milliseconds patience = CallerStallTimeout(RouteOf(aRequest->class_));
   // Before the first event it counts from when the request came, or came back.
   const std::int64_t waited = aSince < 0 ? clock_.Now() - aRequest->came_ : 0;
   clock_.After(patience.count() * 1000 - waited, [this, aRequest, aSince] {
@@ -286,7 +288,7 @@
     End(aRequest, true);
     return;
   }
-  Watch(aRequest, now, SilenceLimit(RouteOf(aRequest->class_)));
+  Watch(aRequest, now, EndpointStallTimeout(RouteOf(aRequest->class_)));
 }
 
 void PassPlayer::End(const PassRequestPtr& aRequest, bool aServed)
@@ -333,7 +335,8 @@
     clock_.After(
       kHop + hosts_[aFrom].wordDelay_,
       [this, aFrom, aTo, shares = hosts_[aFrom].load_.OwnShares(At(clock_))] {
-        hosts_[aTo].load_.OnPeer(hosts_[aFrom].name_, shares, At(clock_));
+        hosts_[aTo].load_.OnPeerSnapshot(
+          hosts_[aFrom].name_, shares, At(clock_));
       });
   };
   tell(aOne, aOther);
@@ -359,7 +362,7 @@
   clock_.After(kHop + hosts_[aHost].wordDelay_, [this, aHost, shares] {
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
       if (Hears(other, aHost)) {
-        hosts_[other].load_.OnChangeOfPeer(
+        hosts_[other].load_.OnPeerDelta(
           hosts_[aHost].name_, shares, At(clock_));
       }
     }
--- a/bench/gooseberrylift-pass-bench.h
+++ b/bench/gooseberrylift-pass-bench.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "gooseberrylift-pass-limits.h"
-#include "gooseberrylift/limits/gooseberrylift-long-hold.h"
+#include "gooseberrylift/limits/gooseberrylift-long-prompt-hold.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-order.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-placement.h"
 
@@ -45,7 +45,7 @@
   int hosts_ = 6;
   int zones_ = 1;
   int engines_ = 20;
-  EngineFigures figures_;
+  EngineProfile figures_;
   std::vector<PassClass> classes_;
   std::vector<PassPhase> phases_;
   double seconds_ = 34;
--- a/bench/gooseberrylift-pass-callers.cc
+++ b/bench/gooseberrylift-pass-callers.cc
@@ -31,7 +31,7 @@
 {
   constexpr double kAnswerWeight = 10;
   const PassClass& kind = site_.classes_[aRequest.class_];
-  const double perEvent = site_.figures_.stride_;
+  const double perEvent = site_.figures_.stepsPerPass_;
   const double size = static_cast<double>(aRequest.prompt_) +
                       kAnswerWeight * aRequest.events_ * perEvent;
   const double usual =
--- a/bench/gooseberrylift-pass-engine.cc
+++ b/bench/gooseberrylift-pass-engine.cc
@@ -25,7 +25,7 @@
 }
 
 PassEngine::PassEngine(VirtualClock& aClock,
-                       EngineFigures aFigures,
+                       EngineProfile aFigures,
                        bool aBounded)
   : clock_(aClock)
   , figures_(aFigures)
@@ -109,7 +109,7 @@
 // others as they came. Gives the time that it takes.
 double PassEngine::PlanReads(double aSteps)
 {
-  double tokens = aSteps * static_cast<double>(figures_.readTokensPerStep_);
+  double tokens = aSteps * static_cast<double>(figures_.prefillTokensPerStep_);
   double ms = 0;
   for (const bool spread : { true, false }) {
     for (const auto& job : jobs_) {
@@ -176,10 +176,10 @@
     return;
   }
   busy_ = true;
-  const double steps = writers > 0 ? figures_.stride_ : 1;
+  const double steps = writers > 0 ? figures_.stepsPerPass_ : 1;
   const auto pass =
     static_cast<double>(figures_.PassTime(writers, context).count()) / 1000 *
-    steps / figures_.stride_;
+    steps / figures_.stepsPerPass_;
   const double ms = pass + PlanReads(steps);
   clock_.After(static_cast<std::int64_t>(ms * 1000), [this] { EndPass(); });
 }
@@ -197,7 +197,7 @@
       job->onRead_();
     } else if (job->partsPending_ == 0) {
       --job->events_;
-      job->grown_ += static_cast<std::uint64_t>(figures_.stride_);
+      job->grown_ += static_cast<std::uint64_t>(figures_.stepsPerPass_);
       job->cancelled_ = job->events_ <= 0;
       job->onEvent_();
     }
--- a/bench/gooseberrylift-pass-engine.h
+++ b/bench/gooseberrylift-pass-engine.h
@@ -13,7 +13,7 @@
 #include <queue>
 #include <vector>
 
-#include "gooseberrylift/routing/gooseberrylift-engine-figures.h"
+#include "gooseberrylift/routing/gooseberrylift-engine-profile.h"
 
 namespace gooseberrylift::bench {
 
@@ -79,7 +79,7 @@
 {
 public:
   /// @param aBounded whether what is full refuses and preempts
-  PassEngine(VirtualClock& aClock, EngineFigures aFigures, bool aBounded);
+  PassEngine(VirtualClock& aClock, EngineProfile aFigures, bool aBounded);
 
   void Add(std::shared_ptr<PassJob> aJob);
 
@@ -106,7 +106,7 @@
   void PreemptNewest();
 
   VirtualClock& clock_;
-  EngineFigures figures_;
+  EngineProfile figures_;
   bool bounded_;
   bool busy_ = false;
   int preempted_ = 0;
--- a/bench/gooseberrylift-pass-limits.cc
+++ b/bench/gooseberrylift-pass-limits.cc
@@ -56,20 +56,20 @@
   if (permits_[aHost].Has(engine, At(clock_))) {
     return true;
   }
-  if (permits_[aHost].BeginAsking(engine, At(clock_))) {
-    Ask(aHost, engine);
+  if (permits_[aHost].TryBeginRequest(engine, At(clock_))) {
+    RequestPermits(aHost, engine);
   }
   return false;
 }
 
-void PassLimits::Ask(std::size_t aHost, const Incarnation& aEngine)
+void PassLimits::RequestPermits(std::size_t aHost, const Incarnation& aEngine)
 {
   const bool apart = options_.mode_ == PassLimitMode::kEvenParts;
   RateGranter& granter = granters_[apart ? aHost : 0];
-  const RateVerdict verdict = granter.Ask(
+  const RateGrant verdict = granter.RequestPermits(
     aEngine, options_.perSecond_, apart ? granters_.size() : 1, At(clock_));
   clock_.After(kRoundTrip, [this, aHost, aEngine, verdict] {
-    permits_[aHost].OnVerdict(aEngine, verdict, At(clock_));
+    permits_[aHost].OnGrant(aEngine, verdict, At(clock_));
   });
 }
 
--- a/bench/gooseberrylift-pass-limits.h
+++ b/bench/gooseberrylift-pass-limits.h
@@ -57,7 +57,7 @@
   const PassLimitCount& Count() const { return count_; }
 
 private:
-  void Ask(std::size_t aHost, const Incarnation& aEngine);
+  void RequestPermits(std::size_t aHost, const Incarnation& aEngine);
 
   VirtualClock& clock_;
   PassLimitOptions options_;
--- a/bench/gooseberrylift-pass-player.h
+++ b/bench/gooseberrylift-pass-player.h
@@ -13,8 +13,8 @@
 
 #include "gooseberrylift-pass-bench.h"
 #include "gooseberrylift-pass-engine.h"
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
-#include "gooseberrylift/limits/gooseberrylift-repeat-budget.h"
+#include "gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-load.h"
 
 namespace gooseberrylift::bench {
@@ -64,7 +64,7 @@
   std::size_t zone_ = 0;
   std::set<std::size_t> far_; // hosts of other zones that hear of this one
   FleetLoad load_{ FleetLoad::Options{} };
-  RepeatBudget repeats_{ RepeatBudget::Options{} };
+  FleetRetryBudget repeats_{ FleetRetryBudget::Options{} };
   std::int64_t wordDelay_ = 0; // us
   std::size_t next_ = 0;       // of round robin
 };
@@ -106,8 +106,8 @@
   void ScheduleArrivals(std::size_t aClass);
   double FactorAt(std::size_t aClass, double aSeconds) const;
   void Arrive(std::size_t aClass);
-  HoldVerdict Judge(const PassRequestPtr& aRequest,
-                    const PlacementChoice& aChoice) const;
+  HoldDecision Judge(const PassRequestPtr& aRequest,
+                     const PlacementChoice& aChoice) const;
   std::chrono::milliseconds LatestReturn(const PassRequest& aRequest) const;
   void SendBack(const PassRequestPtr& aRequest,
                 std::chrono::milliseconds aWait);
@@ -128,7 +128,7 @@
   void Watch(const PassRequestPtr& aRequest,
              std::int64_t aSince,
              std::chrono::microseconds aWait);
-  EndpointSigns SignsOf(const PassRequestPtr& aRequest) const;
+  EndpointActivity SignsOf(const PassRequestPtr& aRequest) const;
   void Leave(const PassRequestPtr& aRequest);
   void End(const PassRequestPtr& aRequest, bool aServed);
   void Exchange(std::size_t aOne, std::size_t aOther);
--- a/bench/gooseberrylift-pass-send.cc
+++ b/bench/gooseberrylift-pass-send.cc
@@ -64,7 +64,7 @@
   aRequest->job_ = nullptr;
   aRequest->tried_.insert(aRequest->engine_);
   if (aRequest->sends_ < kMostSends &&
-      hosts_[aRequest->host_].repeats_.TryRepeat(
+      hosts_[aRequest->host_].repeats_.TryRetry(
         "engines", hosts_.size(), At(clock_))) {
     Send(aRequest);
   } else {
@@ -87,7 +87,7 @@
   const auto readers = aRequest->helpers_.size() + 1;
   const double partMs =
     static_cast<double>(
-      site_.figures_.ReadTime(aRequest->prompt_, static_cast<int>(readers))
+      site_.figures_.PrefillTime(aRequest->prompt_, static_cast<int>(readers))
         .count()) /
     1000;
   job->promptTokens_ = std::max<std::uint64_t>(aRequest->prompt_ / readers, 1);
@@ -131,7 +131,9 @@
     clock_.After(2 * kHop,
                  [this, part, helper] { EngineOf(helper).Add(part); });
   }
-  Watch(aRequest, aRequest->heard_, SilenceLimit(RouteOf(aRequest->class_)));
+  Watch(aRequest,
+        aRequest->heard_,
+        EndpointStallTimeout(RouteOf(aRequest->class_)));
 }
 
 } // namespace gooseberrylift::bench
--- a/bench/gooseberrylift-pass-sites.cc
+++ b/bench/gooseberrylift-pass-sites.cc
@@ -6,19 +6,19 @@
 
 namespace {
 
-EngineFigures FiguresOfSites()
+EngineProfile FiguresOfSites()
 {
   return { .slots_ = 16,
            .memoryTokens_ = 450'000,
            .stepMs_ = 0.925,
            .stepPerSequenceMs_ = 0.00483,
            .stepPerThousandMs_ = 0.00254,
-           .readTokensPerMs_ = 256,
-           .readPerMillionPairsMs_ = 0.0917,
-           .readTokensPerStep_ = 2048,
-           .stride_ = 46,
-           .hopMs_ = 0.1,
-           .usualAnswerTokens_ = 1541 };
+           .prefillTokensPerMs_ = 256,
+           .prefillMsPerMillionPairs_ = 0.0917,
+           .prefillTokensPerStep_ = 2048,
+           .stepsPerPass_ = 46,
+           .crossEngineStepMs_ = 0.1,
+           .typicalAnswerTokens_ = 1541 };
 }
 
 // What one site has of a kind of request that others have otherwise.
@@ -89,12 +89,12 @@
                                .stepMs_ = 1.02,
                                .stepPerSequenceMs_ = 0.00226,
                                .stepPerThousandMs_ = 0.00431,
-                               .readTokensPerMs_ = 206,
-                               .readPerMillionPairsMs_ = 0.138,
-                               .readTokensPerStep_ = 2048,
-                               .stride_ = aLarge ? 48 : 43,
-                               .hopMs_ = 0.075,
-                               .usualAnswerTokens_ = 1409 } };
+                               .prefillTokensPerMs_ = 206,
+                               .prefillMsPerMillionPairs_ = 0.138,
+                               .prefillTokensPerStep_ = 2048,
+                               .stepsPerPass_ = aLarge ? 48 : 43,
+                               .crossEngineStepMs_ = 0.075,
+                               .typicalAnswerTokens_ = 1409 } };
   site.classes_ =
     ThreeKinds({ .perSecond_ = aLarge ? 130.0 : 49.0,
                  .eventsMean_ = 31.6,
@@ -128,7 +128,7 @@
                  .engines_ = aEngines,
                  .figures_ = FiguresOfSites() };
   site.figures_.slots_ = 10;
-  site.figures_.stride_ = 73;
+  site.figures_.stepsPerPass_ = 73;
   site.classes_ = ThreeKinds(
     { .perSecond_ = 282 * aRateFactor,
       .eventsMean_ = 24,
--- a/bench/gooseberrylift-pass-words.cc
+++ b/bench/gooseberrylift-pass-words.cc
@@ -15,7 +15,8 @@
 bool Differs(const EndpointShare& aOne, const EndpointShare& aOther)
 {
   constexpr std::chrono::milliseconds kRead{ 50 };
-  return aOne.running_ != aOther.running_ || aOne.tight_ != aOther.tight_ ||
+  return aOne.running_ != aOther.running_ ||
+         aOne.tightGap_ != aOther.tightGap_ ||
          aOne.memoryTokens_ != aOther.memoryTokens_ ||
          aOne.deferred_ != aOther.deferred_ ||
          std::chrono::abs(aOne.backlog_ - aOther.backlog_) > kRead;
@@ -75,7 +76,8 @@
   clock_.After(hosts_[aHost].wordDelay_, [this, aHost, shares] {
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
       if (Hears(other, aHost) && !IsLost()) {
-        hosts_[other].load_.OnPeer(hosts_[aHost].name_, shares, At(clock_));
+        hosts_[other].load_.OnPeerSnapshot(
+          hosts_[aHost].name_, shares, At(clock_));
       }
     }
   });
@@ -116,7 +118,7 @@
                [this, aZone, zone, changes] {
                  for (PassHost& host : hosts_) {
                    if (host.zone_ != aZone && !IsLost()) {
-                     host.load_.OnChangeOfPeer(zone, changes, At(clock_));
+                     host.load_.OnPeerDelta(zone, changes, At(clock_));
                    }
                  }
                });
--- a/bench/slopes/gooseberrylift-core-slopes.cc
+++ b/bench/slopes/gooseberrylift-core-slopes.cc
@@ -9,7 +9,7 @@
 #include "gooseberrylift-slope-table.h"
 #include "gooseberrylift/gooseberrylift-burn-document.h"
 #include "gooseberrylift/gooseberrylift-digest-codec.h"
-#include "gooseberrylift/gooseberrylift-endpoint-book.h"
+#include "gooseberrylift/gooseberrylift-endpoint-registry.h"
 #include "gooseberrylift/gooseberrylift-peer-table.h"
 #include "gooseberrylift/gooseberrylift-scheduler.h"
 #include "gooseberrylift/internal/gooseberrylift-metrics.h"
@@ -101,7 +101,7 @@
           sizes,
           [](double aEngines) {
             const double before = HeapBytes();
-            EndpointBook book(EndpointBook::Options{});
+            EndpointRegistry book(EndpointRegistry::Options{});
             book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
             const std::vector<EndpointView> snapshot = book.Views();
             return HeapBytes() - before;
@@ -111,12 +111,12 @@
           "us",
           sizes,
           [](double aEngines) {
-            EndpointBook book(EndpointBook::Options{});
+            EndpointRegistry book(EndpointRegistry::Options{});
             const auto views = EnginesOf(static_cast<int>(aEngines));
             return MicrosecondsOf([&] { book.OnList(views, TimePoint{}); });
           });
   Measure("one load report", "engine", "us", sizes, [](double aEngines) {
-    EndpointBook book(EndpointBook::Options{});
+    EndpointRegistry book(EndpointRegistry::Options{});
     book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
     EndpointReport report{ .incarnation_ = 1 };
     return MicrosecondsOf([&] {
@@ -126,7 +126,7 @@
   });
   Measure(
     "one snapshot for readers", "engine", "us", sizes, [](double aEngines) {
-      EndpointBook book(EndpointBook::Options{});
+      EndpointRegistry book(EndpointRegistry::Options{});
       book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
       return MicrosecondsOf([&] { (void)book.Views(); });
     });
@@ -170,7 +170,7 @@
 }
 
 // Fills a ledger with one request of each of so many teams.
-void FillLedger(BurnLedger& aLedger, int aTeams)
+void FillLedger(BurnCounters& aLedger, int aTeams)
 {
   const ServiceObjective objective;
   for (int team = 0; team < aTeams; ++team) {
@@ -188,27 +188,27 @@
   const std::vector<double> sizes{ 250, 1000, 4000 };
   Measure("burn counts in memory", "team", "bytes", sizes, [](double aTeams) {
     const double before = HeapBytes();
-    BurnLedger ledger({ .maxSeries_ = 5000 });
+    BurnCounters ledger({ .maxSeries_ = 5000 });
     FillLedger(ledger, static_cast<int>(aTeams));
     return HeapBytes() - before;
   });
   Measure(
     "burn report of one host, text", "team", "bytes", sizes, [](double aTeams) {
-      BurnLedger ledger({ .maxSeries_ = 5000 });
+      BurnCounters ledger({ .maxSeries_ = 5000 });
       FillLedger(ledger, static_cast<int>(aTeams));
       const BurnDocument document{ .hosts_ = { "host" },
                                    .tally_ = ledger.Tally(TimePoint{}) };
-      return static_cast<double>(BurnDocumentText(document).size());
+      return static_cast<double>(SerializeBurnDocument(document).size());
     });
   Measure("counting one request", "team", "us", sizes, [](double aTeams) {
-    BurnLedger ledger({ .maxSeries_ = 5000 });
+    BurnCounters ledger({ .maxSeries_ = 5000 });
     FillLedger(ledger, static_cast<int>(aTeams));
     const BurnSample sample{ .team_ = "team-7", .service_ = "model-1" };
     return MicrosecondsOf(
       [&] { ledger.Record(sample, ServiceObjective{}, TimePoint{}); });
   });
   Measure("merging one host's report", "team", "us", sizes, [](double aTeams) {
-    BurnLedger ledger({ .maxSeries_ = 5000 });
+    BurnCounters ledger({ .maxSeries_ = 5000 });
     FillLedger(ledger, static_cast<int>(aTeams));
     const BurnTally tally = ledger.Tally(TimePoint{});
     BurnTally merged;
@@ -246,7 +246,7 @@
   for (int host = 0; host < aHosts; ++host) {
     table.OnMessage({ .from_ = DigestOf(host, 0) }, TimePoint{});
   }
-  table.SetOwn(DigestOf(0, 0), TimePoint{});
+  table.BeginRound(DigestOf(0, 0), TimePoint{});
   return table;
 }
 
--- a/include/gooseberrylift/gooseberrylift-admission.h
+++ b/include/gooseberrylift/gooseberrylift-admission-controller.h
@@ -3,8 +3,8 @@
 // after engines have already worked on them, and callers learn of it only at
 // the deadline.
 
-#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_H_
-#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_H_
+#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_CONTROLLER_H_
+#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_CONTROLLER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -104,4 +104,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_H_
+#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ADMISSION_CONTROLLER_H_
--- a/include/gooseberrylift/gooseberrylift-attempts.h
+++ b/include/gooseberrylift/gooseberrylift-attempt-errors.h
@@ -1,8 +1,8 @@
 // Combines the errors of the attempts of one request, for both engines and
 // plain services.
 
-#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPTS_H_
-#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPTS_H_
+#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPT_ERRORS_H_
+#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPT_ERRORS_H_
 
 #include "gooseberrylift/gooseberrylift-result.h"
 
@@ -13,7 +13,7 @@
 //   attempts.OnFailed(error);    // an attempt at an endpoint failed
 //   attempts.OnRefused(refusal); // the scheduler found no other endpoint
 //   co_return attempts.Final();
-class Attempts
+class AttemptErrors
 {
 public:
   /// Records the scheduler's refusal to place another attempt. After a failed
@@ -27,7 +27,7 @@
   /// Returns the last error. Once an endpoint may have received part of the
   /// request, the result is never RanState::kNo, whatever the last attempt
   /// reported.
-  Error Final() const;
+  Error FinalError() const;
 
 private:
   Error last_{ .code_ = ResultCode::kNoEndpoint };
@@ -37,4 +37,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPTS_H_
+#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ATTEMPT_ERRORS_H_
--- a/include/gooseberrylift/gooseberrylift-burn-document.h
+++ b/include/gooseberrylift/gooseberrylift-burn-document.h
@@ -26,7 +26,7 @@
 };
 
 /// Serializes a document to JSON.
-std::string BurnDocumentText(const BurnDocument& aDocument);
+std::string SerializeBurnDocument(const BurnDocument& aDocument);
 
 /// Parses a document received from another host.
 /// @return the document, or std::nullopt if the text is malformed
@@ -34,7 +34,7 @@
 
 /// Merges a host's document into aInto. The objectives of the higher generation
 /// are used.
-void MergeDocument(BurnDocument& aInto, const BurnDocument& aFrom);
+void MergeBurnDocument(BurnDocument& aInto, const BurnDocument& aFrom);
 
 /// Returns the objectives of a configuration's services, by service name.
 ObjectivesByService ObjectivesOf(const Configuration& aConfiguration);
--- a/include/gooseberrylift/gooseberrylift-burn.h
+++ b/include/gooseberrylift/gooseberrylift-burn.h
@@ -89,12 +89,12 @@
 // consists of whole slots and includes the current, incomplete one, so the
 // 5-minute window covers the last four to five minutes.
 //
-//   BurnLedger ledger({});
+//   BurnCounters ledger({});
 //   ledger.Record(sample, objective, now);
 //   const BurnTally tally = ledger.Tally(now);
 //
 // Not thread-safe; the runtime keeps one instance per shard.
-class BurnLedger
+class BurnCounters
 {
 public:
   struct Options
@@ -107,10 +107,10 @@
 
   static constexpr const char* kOtherTeams = "(others)";
 
-  explicit BurnLedger(Options aOptions);
-  ~BurnLedger();
-  BurnLedger(const BurnLedger&) = delete;
-  BurnLedger& operator=(const BurnLedger&) = delete;
+  explicit BurnCounters(Options aOptions);
+  ~BurnCounters();
+  BurnCounters(const BurnCounters&) = delete;
+  BurnCounters& operator=(const BurnCounters&) = delete;
 
   /// Counts one request.
   /// @param aSample the request
--- a/include/gooseberrylift/gooseberrylift-config-change.h
+++ b/include/gooseberrylift/gooseberrylift-config-change.h
@@ -31,7 +31,7 @@
   // the 1 MB limit of the object. This also bounds how many changes ago a write
   // can have been for its outcome to be determined, for which a few seconds'
   // worth suffices, and how many configuration texts the store keeps.
-  static constexpr std::size_t kRecent = 100;
+  static constexpr std::size_t kMaxRecentChanges = 100;
 
   std::uint64_t generation_ = 0;
   nlohmann::json configuration_ = nlohmann::json::object();
@@ -49,8 +49,8 @@
 // The generations that determine whether a proposed change is accepted.
 struct ConfigProposal
 {
-  std::uint64_t base_ = 0;         // generation that the change is based on
-  std::uint64_t highestKnown_ = 0; // highest in force on any known host
+  std::uint64_t base_ = 0;           // generation that the change is based on
+  std::uint64_t highestInForce_ = 0; // highest in force on any known host
 };
 
 /// Computes the generation of the next change.
@@ -63,9 +63,9 @@
 
 /// Returns the stored object with the new configuration and the change appended
 /// to its list. The caller writes it by a conditional update.
-StoredConfiguration WithChange(const StoredConfiguration& aStored,
-                               nlohmann::json aConfiguration,
-                               ConfigChange aChange);
+StoredConfiguration AppendChange(const StoredConfiguration& aStored,
+                                 nlohmann::json aConfiguration,
+                                 ConfigChange aChange);
 
 /// Lists the differences between two configurations, one path per line:
 /// "+ path", "- path" or "~ path: old -> new". List items are matched by
--- a/include/gooseberrylift/gooseberrylift-endpoint-book.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint-registry.h
@@ -2,8 +2,8 @@
 // endpoints' own load reports, peers' digests, and failures of requests and
 // polls.
 
-#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_BOOK_H_
-#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_BOOK_H_
+#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_REGISTRY_H_
+#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_REGISTRY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -27,11 +27,11 @@
 
 // Tracks the state of each endpoint from timestamped events. Not thread-safe.
 //
-//   EndpointBook book({});
+//   EndpointRegistry book({});
 //   book.OnList(listed, now);
 //   book.OnReport("engine-1", report, now);
 //   for (const EndpointView& view : book.Views()) ...
-class EndpointBook
+class EndpointRegistry
 {
 public:
   struct Options
@@ -45,7 +45,7 @@
     std::chrono::milliseconds unlistedRetention_{ 120'000 };
   };
 
-  explicit EndpointBook(Options aOptions);
+  explicit EndpointRegistry(Options aOptions);
 
   /// Applies the platform's list. An endpoint missing from it is removed only
   /// when it also stops answering or has been missing for unlistedRetention_,
@@ -72,7 +72,7 @@
   /// harmless. kDead counts only as one additional failure, because the peer
   /// itself may be partitioned; the next report received by this host clears
   /// it.
-  bool OnPeerWord(const EndpointDigest& aDigest, TimePoint aNow);
+  bool OnPeerDigest(const EndpointDigest& aDigest, TimePoint aNow);
 
   /// Returns all endpoints, sorted by name.
   std::vector<EndpointView> Views() const;
@@ -97,4 +97,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_BOOK_H_
+#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_ENDPOINT_REGISTRY_H_
--- a/include/gooseberrylift/gooseberrylift-endpoint.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint.h
@@ -15,29 +15,29 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 
 // Start time of an endpoint, on the endpoint's own clock.
-using BirthTime = std::chrono::sys_time<std::chrono::milliseconds>;
+using StartTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 // One run of an endpoint process; a restarted endpoint may reuse its id.
 struct Incarnation
 {
   std::string id_;
-  BirthTime born_{}; // the epoch if the platform reports none
+  StartTime startTime_{}; // the epoch if the platform reports none
 
   bool operator==(const Incarnation&) const = default;
   bool operator<(const Incarnation& aOther) const
   {
-    return std::tie(id_, born_) < std::tie(aOther.id_, aOther.born_);
+    return std::tie(id_, startTime_) < std::tie(aOther.id_, aOther.startTime_);
   }
 };
 
 // The endpoint's rate limit as stated in one of its responses.
-struct RateNotice
+struct AdvertisedRateLimit
 {
   enum class Kind
   {
-    kNone,       // the response states no limit
-    kNamed,      // perSecond_ is the limit for all hosts combined
-    kUnreadable, // present but malformed; the limit is unknown
+    kNone,      // the response states no limit
+    kSpecified, // perSecond_ is the limit for all hosts combined
+    kMalformed, // present but malformed; the limit is unknown
   };
 
   Kind kind_ = Kind::kNone;
--- a/include/gooseberrylift/gooseberrylift-event-limit.h
+++ b/include/gooseberrylift/gooseberrylift-event-rate-limiter.h
@@ -1,7 +1,7 @@
 // Rate limit for log events of one kind.
 
-#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_LIMIT_H_
-#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_LIMIT_H_
+#ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_RATE_LIMITER_H_
+#define GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_RATE_LIMITER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 // a rejection, and logging would then cost more than the requests themselves.
 // The first event that is admitted in a later second reports how many were
 // suppressed. Not thread-safe.
-class EventLimit
+class EventRateLimiter
 {
 public:
   struct Options
@@ -23,7 +23,7 @@
     int perSecond_ = 20; // enough to show a pattern, at most 6 kB/s of log
   };
 
-  explicit EventLimit(Options aOptions)
+  explicit EventRateLimiter(Options aOptions)
     : options_(aOptions)
   {
   }
@@ -31,7 +31,7 @@
   /// Decides whether an event is written.
   /// @return the number of events suppressed since the last one written, or
   /// std::nullopt if this event is suppressed as well
-  std::optional<std::uint64_t> Pass(TimePoint aNow);
+  std::optional<std::uint64_t> Admit(TimePoint aNow);
 
 private:
   Options options_;
@@ -42,4 +42,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_LIMIT_H_
+#endif // GOOSEBERRYLIFT_GOOSEBERRYLIFT_EVENT_RATE_LIMITER_H_
--- a/include/gooseberrylift/gooseberrylift-first-token-histogram.h
+++ b/include/gooseberrylift/gooseberrylift-first-token-histogram.h
@@ -49,7 +49,7 @@
   void Add(const Bin& aBin);
 
   /// Returns all non-empty bins, sorted by service, band and bin.
-  std::vector<Bin> Filled() const;
+  std::vector<Bin> NonEmptyBins() const;
 
   /// Returns the upper edge of the bin that contains a quantile of a series.
   /// @return nullopt if the series is empty or the quantile is in the overflow
@@ -58,7 +58,7 @@
   Quantile(const std::string& aService, std::size_t aBand, double aShare) const;
 
   /// Returns the number of time bins, without underflow and overflow.
-  static int Bins();
+  static int BinCount();
 
   /// Returns the upper edge of a bin; -1 is the underflow bin.
   static std::chrono::duration<double> UpperEdge(int aBin);
--- a/include/gooseberrylift/gooseberrylift-peer-table.h
+++ b/include/gooseberrylift/gooseberrylift-peer-table.h
@@ -35,7 +35,7 @@
 };
 
 // The result of processing a message.
-struct PeerNews
+struct PeerMergeResult
 {
   bool changed_ = false;         // it contained a newer digest
   std::uint64_t generation_ = 0; // the sender's; fetched if it is higher
@@ -56,8 +56,8 @@
 //
 //   PeerTable table({ .host_ = "entry-1", .zone_ = "a", .seed_ = 1 });
 //   table.OnMembers(members, now);
-//   table.SetOwn(digest, now);
-//   for (const PeerMember& peer : table.PickPeers()) {
+//   table.BeginRound(digest, now);
+//   for (const PeerMember& peer : table.SelectPeers()) {
 //     send(table.MakeMessage(peer.zone_));
 //   }
 class PeerTable
@@ -81,14 +81,14 @@
     std::uint64_t incarnation_ = 0;
     std::uint64_t seed_ = 0;
     std::chrono::milliseconds round_{ 1000 };
-    std::chrono::milliseconds largeRound_{ 1000 }; // from kSmallFleet
-    std::size_t partners_ = 2; // peers per round in a small fleet
+    std::chrono::milliseconds largeFleetRound_{ 1000 }; // from kSmallFleet
+    std::size_t roundFanout_ = 2; // peers per round in a small fleet
     // Eight digests of about 130 bytes keep a message below 1.5 KB.
     std::size_t relayedPerMessage_ = 8;
     // The number of heartbeat intervals without a sign of life after which a
     // host is considered failed. Allows for one or two lost messages and the
     // delay of relaying.
-    int roundsUntilGone_ = 5;
+    int roundsUntilExpired_ = 5;
   };
 
   explicit PeerTable(Options aOptions);
@@ -99,24 +99,24 @@
 
   /// Starts a round and publishes this host's own digest. Sets the digest's
   /// host, zone, region, address, incarnation and sequence.
-  void SetOwn(Digest aOwn, TimePoint aNow);
+  void BeginRound(Digest aOwn, TimePoint aNow);
 
   /// Selects the peers to exchange digests with in this round.
-  std::vector<PeerMember> PickPeers();
+  std::vector<PeerMember> SelectPeers();
 
   /// Selects peers for a new generation that should not wait for the next
   /// round: hosts that are not known to have this host's generation.
-  std::vector<PeerMember> PickForNews(std::size_t aCount);
+  std::vector<PeerMember> SelectOutdatedPeers(std::size_t aCount);
 
   /// Selects live peers for an update that concerns all hosts in scope: those
   /// of the own zone, or all hosts of a small fleet.
-  std::vector<PeerMember> PickNear(std::size_t aCount);
+  std::vector<PeerMember> SelectPeersInScope(std::size_t aCount);
 
   /// Builds the message, or the reply, for a peer in a zone.
   PeerMessage MakeMessage(const std::string& aZone);
 
   /// Processes a peer's message.
-  PeerNews OnMessage(const PeerMessage& aMessage, TimePoint aNow);
+  PeerMergeResult OnMessage(const PeerMessage& aMessage, TimePoint aNow);
 
   /// Records a sign of life of a host that did not come by a digest.
   void OnHeard(const std::string& aHost, TimePoint aNow);
@@ -125,7 +125,7 @@
   std::chrono::milliseconds Round() const
   {
     return IsSmall() ? options_.round_
-                     : std::max(options_.round_, options_.largeRound_);
+                     : std::max(options_.round_, options_.largeFleetRound_);
   }
 
   /// Returns the latest digest of every other live host.
@@ -136,13 +136,13 @@
 
   /// Returns the other hosts with a recent digest. A host that has just started
   /// requests this list.
-  std::vector<PeerMember> HeardLately(TimePoint aNow) const;
+  std::vector<PeerMember> RecentlyHeard(TimePoint aNow) const;
 
   /// Estimates the number of other hosts in the fleet: the known hosts of the
   /// own zone, plus for each other zone the highest count that one of its hosts
   /// reported, since most hosts of other zones are not followed. Right after
   /// hosts have failed, the estimate may be too high.
-  std::size_t FleetSize() const;
+  std::size_t EstimateOtherHosts() const;
 
   const Digest& Own() const { return own_; }
 
--- a/include/gooseberrylift/gooseberrylift-prompt-band.h
+++ b/include/gooseberrylift/gooseberrylift-prompt-band.h
@@ -27,7 +27,7 @@
 } };
 
 /// Returns the index in kPromptBands for a prompt length in tokens.
-constexpr std::size_t BandOf(std::uint64_t aPromptTokens)
+constexpr std::size_t PromptBandIndex(std::uint64_t aPromptTokens)
 {
   return static_cast<std::size_t>(
     std::find_if(kPromptBands.begin(),
--- a/include/gooseberrylift/gooseberrylift-scheduler-types.h
+++ b/include/gooseberrylift/gooseberrylift-scheduler-types.h
@@ -28,11 +28,14 @@
   std::vector<std::string> excluded_{}; // endpoints already tried
   // A retry that is not charged to the retry budget, because the previous
   // endpoint did no work or the caller already has part of the response.
-  bool freeRetry_ = false;
+  bool exemptFromRetryBudget_ = false;
 
   /// Returns whether this is the first attempt. A stream that waits for another
   /// engine clears excluded_, so an empty list alone is not sufficient.
-  bool IsFirstTry() const { return excluded_.empty() && !freeRetry_; }
+  bool IsFirstAttempt() const
+  {
+    return excluded_.empty() && !exemptFromRetryBudget_;
+  }
 };
 
 // The outcome of a request at an endpoint.
--- a/include/gooseberrylift/gooseberrylift-scheduler.h
+++ b/include/gooseberrylift/gooseberrylift-scheduler.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "gooseberrylift/gooseberrylift-admission.h"
+#include "gooseberrylift/gooseberrylift-admission-controller.h"
 #include "gooseberrylift/gooseberrylift-cost-model.h"
 #include "gooseberrylift/gooseberrylift-endpoint-slot.h"
 #include "gooseberrylift/gooseberrylift-lane-split.h"
@@ -63,7 +63,7 @@
   void Configure(Options aOptions);
 
   /// Sets the number of hosts that share the pool, including this one.
-  void SetHosts(std::size_t aHosts) { hostCount_ = aHosts; }
+  void SetHostCount(std::size_t aHosts) { hostCount_ = aHosts; }
 
   /// Submits a request. TakeActions returns the decision, now or later.
   void OnRequest(const RequestInfo& aInfo, TimePoint aNow);
--- a/include/gooseberrylift/gooseberrylift-settings.h
+++ b/include/gooseberrylift/gooseberrylift-settings.h
@@ -39,7 +39,7 @@
   std::chrono::milliseconds retryWindow_{ 10'000 };
   double retryAllowance_ = 100; // retries per window on top of the ratio
   // The longest time for which an engine reserves memory.
-  std::chrono::milliseconds longestHold_{ 20'000 };
+  std::chrono::milliseconds maxHold_{ 20'000 };
   // Whether in large zones a few hosts read the store and relay it to the
   // others. Otherwise every host reads the store itself.
   bool relaysStore_ = true;
--- a/include/gooseberrylift/gooseberrylift-sse.h
+++ b/include/gooseberrylift/gooseberrylift-sse.h
@@ -13,10 +13,10 @@
 
 // Incremental parser for an event stream:
 //
-//   SseReader reader;
+//   SseParser reader;
 //   reader.Feed(piece);
 //   while (const auto data = reader.Next()) ...
-class SseReader
+class SseParser
 {
 public:
   /// Appends a part of the response body.
--- a/include/gooseberrylift/gooseberrylift-team-limiter.h
+++ b/include/gooseberrylift/gooseberrylift-team-limiter.h
@@ -52,7 +52,9 @@
 
   /// Requests permission for a request of a team.
   /// @return true if it may proceed, in which case its tokens are charged
-  bool Take(const std::string& aTeam, std::uint64_t aTokens, TimePoint aNow);
+  bool TryAcquire(const std::string& aTeam,
+                  std::uint64_t aTokens,
+                  TimePoint aNow);
 
   /// Returns this host's demand for its digest. Called once per digest period.
   std::vector<TeamDemand> Publish(TimePoint aNow);
--- a/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
+++ b/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
@@ -46,7 +46,7 @@
   struct Shard
   {
     mutable std::mutex mutex_;
-    BurnLedger ledger_{ BurnLedger::Options{} };
+    BurnCounters ledger_{ BurnCounters::Options{} };
   };
 
   Parts parts_;
--- a/include/gooseberrylift/internal/gooseberrylift-config-admin.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-admin.h
@@ -15,7 +15,7 @@
 namespace gooseberrylift {
 
 // One object a generation that is no longer the newest; its bound is that of
-// StoredConfiguration::kRecent.
+// StoredConfiguration::kMaxRecentChanges.
 constexpr const char* kHistoryKind = "configuration-history";
 
 // Routes: GET /configuration (in force here), POST /configuration?base=N,
--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
@@ -21,7 +21,7 @@
 #include "gooseberrylift/gooseberrylift-peer-table.h"
 #include "gooseberrylift/internal/gooseberrylift-http.h"
 #include "gooseberrylift/internal/gooseberrylift-metrics.h"
-#include "gooseberrylift/limits/gooseberrylift-endpoint-rates.h"
+#include "gooseberrylift/limits/gooseberrylift-endpoint-rate-limits.h"
 #include "gooseberrylift/limits/gooseberrylift-rate-granter.h"
 #include "gooseberrylift/limits/gooseberrylift-rate-permits.h"
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
@@ -54,7 +54,7 @@
     boost::asio::any_io_executor executor_;
     Metrics& metrics_;
     // Says whether an incarnation is in the list of endpoints.
-    EndpointRates::IsListed isListed_;
+    EndpointRateLimits::IsListed isListed_;
     // The other hosts are to know at once which endpoints have limits.
     std::function<void()> tell_;
     // Answered there by Answer().
@@ -74,7 +74,7 @@
   /// Takes in what an endpoint's answer says of its limit.
   /// @param aSent when the request was sent that it answers
   void OnAnswer(const Incarnation& aEndpoint,
-                const RateNotice& aNotice,
+                const AdvertisedRateLimit& aNotice,
                 TimePoint aSent);
 
   /// Takes in what a peer knows.
@@ -104,7 +104,7 @@
 
   /// Gives when one of some limited endpoints may be open to a request; zero
   /// or less while the granting host is being asked.
-  std::chrono::milliseconds OpensIn(
+  std::chrono::milliseconds TimeUntilPermit(
     const std::vector<ListedEndpoint>& aEndpoints);
 
   /// Answers a peer that asks for permits.
@@ -117,18 +117,18 @@
   // Whom to ask for permits; host_ is empty when nobody can be asked.
   using Granter = PeerMember;
 
-  boost::asio::awaitable<void> Ask(EndpointRate aRate);
+  boost::asio::awaitable<void> RequestPermits(EndpointRate aRate);
   boost::asio::awaitable<Outcome<nlohmann::json>> AskPeers(EndpointRate aRate,
                                                            Granter aGranter);
   void TakeIn(const Incarnation& aEndpoint, const nlohmann::json& aAnswer);
-  RateVerdict Grant(const EndpointRate& aRate);
+  RateGrant Grant(const EndpointRate& aRate);
   Granter GranterFor(const Incarnation& aEndpoint);
   void OnChanged(const EndpointRate& aRate, const char* aSource);
 
   Parts parts_;
   Options options_;
   std::mutex mutex_; // guards what follows
-  EndpointRates rates_{ EndpointRates::Options{} };
+  EndpointRateLimits rates_{ EndpointRateLimits::Options{} };
   RateGranter granter_;
   RatePermits permits_{ RatePermits::Options{} };
   // Live hosts that are not about to stop, by zone; one nameless zone in a
--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-tracker.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-tracker.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "gooseberrylift/gooseberrylift-endpoint-book.h"
+#include "gooseberrylift/gooseberrylift-endpoint-registry.h"
 #include "gooseberrylift/internal/gooseberrylift-blackboard.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
 
@@ -60,7 +60,7 @@
   Blackboard& board_;
   Options options_;
   std::mutex mutex_; // guards book_, polling_, dirty_
-  EndpointBook book_;
+  EndpointRegistry book_;
   std::atomic<bool> listLost_ = false; // said once, not at every poll
   std::set<std::string> polling_; // a slow endpoint gets one poll at a time
   bool dirty_ = false;
--- a/include/gooseberrylift/internal/gooseberrylift-fleet.h
+++ b/include/gooseberrylift/internal/gooseberrylift-fleet.h
@@ -14,14 +14,14 @@
 #include <vector>
 
 #include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
-#include "gooseberrylift/membership/gooseberrylift-load-word.h"
-#include "gooseberrylift/membership/gooseberrylift-zone-sums.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message.h"
+#include "gooseberrylift/membership/gooseberrylift-zone-load.h"
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
-#include "gooseberrylift/routing/gooseberrylift-endpoint-trust.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-load.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-placement.h"
-#include "gooseberrylift/routing/gooseberrylift-fleet-view.h"
+#include "gooseberrylift/routing/gooseberrylift-outlier-detector.h"
+#include "gooseberrylift/routing/gooseberrylift-peer-visibility.h"
 #include "gooseberrylift/routing/gooseberrylift-route-table.h"
 
 namespace gooseberrylift {
@@ -31,7 +31,7 @@
 {
   std::uint64_t id_ = 0; // this host's own number of it
   std::string service_;
-  std::optional<EngineFigures> figures_; // none for a plain service
+  std::optional<EngineProfile> figures_; // none for a plain service
   ServiceGaps gaps_;
   PlacementRequest request_;
   std::set<std::string> tried_; // endpoints that failed it
@@ -43,13 +43,13 @@
 {
   ListedEndpoint endpoint_;
   std::vector<ListedEndpoint> helpers_;
-  std::uint64_t heldTokens_ = 0;               // to be set aside at each helper
+  std::uint64_t reservedTokens_ = 0;           // to be set aside at each helper
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted
   std::chrono::microseconds wait_{ 0 };        // of that, before its read
-  bool long_ = false;     // its read disturbs those that write beside it
-  bool deferred_ = false; // lets those go first that are not late
-  bool blind_ = false;    // chosen without a word of other hosts
-  EndpointLoad load_;     // at the endpoint, before it
+  bool long_ = false;            // its read disturbs those that write beside it
+  bool deferred_ = false;        // lets those go first that are not late
+  bool peerLoadUnknown_ = false; // chosen without a word of other hosts
+  EndpointLoad load_;            // at the endpoint, before it
   std::size_t candidates_ = 0;
   std::size_t withheld_ = 0; // endpoints passed over for want of a permit
   RequestCost cost_;
@@ -94,7 +94,8 @@
   /// Says when the service has a permit again; zero or less while one is being
   /// asked for.
   /// @return nothing when it has endpoints that need none, or no endpoint
-  std::optional<std::chrono::milliseconds> OpensIn(const std::string& aService);
+  std::optional<std::chrono::milliseconds> TimeUntilPermit(
+    const std::string& aService);
 
   /// Takes in one new or changed entry.
   void OnListed(const ListedEndpoint& aListed);
@@ -128,7 +129,7 @@
     void OnHeard(bool aFirst);
 
     /// Gives what is known of the endpoint while its answer is waited for.
-    EndpointSigns Signs() const;
+    EndpointActivity Signs() const;
 
     /// Ends the use and notes how it went.
     void End(EndpointOutcome aOutcome);
@@ -147,7 +148,7 @@
   };
 
   /// Takes in a peer's word of what it, or its zone, has in work.
-  void OnWord(const LoadWord& aWord);
+  void OnLoadMessage(const LoadMessage& aWord);
 
   /// Sums by endpoint what this host and some others have in work.
   std::vector<EndpointShare> SumOf(const std::set<std::string>& aHosts);
@@ -177,7 +178,7 @@
   Shard& ShardOf(const std::string& aService);
   SharesByService ByService(const std::vector<EndpointShare>& aShares);
   void MakeShards(const SharesByService& aShares);
-  bool IsBlind();
+  bool IsPeerLoadUnknown();
   using Endpoints = std::shared_ptr<const std::vector<ListedEndpoint>>;
 
   // The usable endpoints of a service in this host's order.
@@ -193,7 +194,7 @@
 
   Options options_;
   std::mutex peersMutex_; // guards what follows
-  FleetView view_;
+  PeerVisibility view_;
   // What was last taken in of a peer.
   struct PeerWords
   {
@@ -201,7 +202,7 @@
     std::uint64_t whole_ = 0; // sequence of the last whole word
   };
   std::map<std::string, PeerWords> peerWords_;
-  ZoneSources zoneSources_{ ZoneSources::Options{} };
+  ZoneMessageFilter zoneMessageFilter_{ ZoneMessageFilter::Options{} };
   std::mutex directoryMutex_;
   std::map<std::string, Order> orders_; // by service
   EndpointDirectory directory_;
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
@@ -79,7 +79,7 @@
   std::unique_ptr<WireDialect> dialect_;
   EndpointLimiter limiter_;
   Fleet fleet_;
-  ReadRank rank_;     // among the live hosts, as last heard
+  ReaderRank rank_;   // among the live hosts, as last heard
   PeerGroups groups_; // the other hosts, as last heard
   RouteFollower routes_;
   EndpointFollower endpoints_;
--- a/include/gooseberrylift/internal/gooseberrylift-headline-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-headline-words.h
@@ -16,7 +16,7 @@
 #include "gooseberrylift/gooseberrylift-peer-table.h"
 #include "gooseberrylift/internal/gooseberrylift-peer-datagrams.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
-#include "gooseberrylift/membership/gooseberrylift-headline-word.h"
+#include "gooseberrylift/membership/gooseberrylift-store-status-message.h"
 
 namespace gooseberrylift {
 
@@ -32,11 +32,11 @@
     PeerDatagrams& datagrams_;
     // Draws the hosts to ask in a round.
     std::function<std::vector<PeerMember>()> draw_;
-    std::function<StoreHeadline()> own_;
+    std::function<StoreStatus()> own_;
     // Takes another host's headline; with the time of the question where it
     // came with the answer to one.
     std::function<void(const PeerMember& aPeer,
-                       const StoreHeadline& aHeadline,
+                       const StoreStatus& aHeadline,
                        std::optional<BootTime> aAsked)>
       take_;
   };
@@ -60,7 +60,7 @@
 private:
   void Ask();
   void TakeIn(std::string_view aBytes, const PeerAddress& aFrom);
-  void TakeInAnswer(const HeadlineWord& aWord, const PeerMember& aPeer);
+  void TakeInAnswer(const StoreStatusMessage& aWord, const PeerMember& aPeer);
   void ForgetOld();
 
   Parts parts_;
--- a/include/gooseberrylift/internal/gooseberrylift-load-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-load-words.h
@@ -15,10 +15,10 @@
 
 #include "gooseberrylift/internal/gooseberrylift-peer-datagrams.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
-#include "gooseberrylift/membership/gooseberrylift-load-word.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message-pacer.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message.h"
 #include "gooseberrylift/membership/gooseberrylift-peer-groups.h"
-#include "gooseberrylift/membership/gooseberrylift-word-pace.h"
-#include "gooseberrylift/membership/gooseberrylift-zone-sums.h"
+#include "gooseberrylift/membership/gooseberrylift-zone-load.h"
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
 
 namespace gooseberrylift {
@@ -26,8 +26,8 @@
 // Words of load are small, many, and worthless when late; the next one replaces
 // a lost one. So they go as datagrams. In a large fleet one host of each zone
 // sums up what its zone has in work and tells it to the other zones
-// (ZoneSummer). All of it runs on one executor, to which its owner's calls
-// belong too.
+// (ZoneLoadAggregator). All of it runs on one executor, to which its owner's
+// calls belong too.
 class LoadWords
 {
 public:
@@ -42,14 +42,14 @@
       ownAt_;
     // Sums of what the hosts of this zone have in work.
     std::function<std::vector<EndpointShare>()> zoneSums_;
-    std::function<void(const LoadWord& aWord)> take_; // of a peer
+    std::function<void(const LoadMessage& aWord)> take_; // of a peer
   };
 
   struct Options
   {
     std::string host_; // this host's name
     std::string zone_;
-    WordPace::Options pace_{};
+    LoadMessagePacer::Options pace_{};
     // Between two sums of the zone for the hosts of other zones. Each goes to
     // one host of each zone, which passes it on: with 60 hosts a zone and five
     // zones each host sends and gets 20 datagrams a second, and the smallest
@@ -67,7 +67,7 @@
   void Start();
 
   /// Sets the other hosts, as they change.
-  void SetPeers(const WordPeers& aPeers);
+  void SetPeers(const LoadMessagePeers& aPeers);
 
   /// Notes that this host has placed something.
   /// @param aUrgent it is told beyond the bound: a long prompt, for which the
@@ -81,17 +81,17 @@
   boost::asio::awaitable<void> SendAt(TimePoint aWhen);
   void SendWhole();
   void SendWholeSoon();
-  void Send(const LoadWord& aWord, const std::vector<PeerAddress>& aTo);
+  void Send(const LoadMessage& aWord, const std::vector<PeerAddress>& aTo);
   void Repeat();
   void TellZone();
   void TellZoneSoon();
-  void SendToZones(LoadWordPart aPart, std::vector<EndpointShare> aShares);
-  void PassOn(LoadWord aWord);
+  void SendToZones(LoadMessageKind aPart, std::vector<EndpointShare> aShares);
+  void PassOn(LoadMessage aWord);
   void TakeIn(std::string_view aBytes);
 
   Parts parts_;
   Options options_;
-  WordPace pace_;
+  LoadMessagePacer pace_;
   std::uint64_t sequence_ = 0;
   bool armed_ = false; // a word is to be sent soon
   bool told_ = false;  // the last word said something
@@ -101,8 +101,8 @@
   std::size_t rank_ = 0;
   bool sums_ = false;  // this host sums up its zone, as last logged
   TimePoint summed_{}; // the last time
-  ZoneSummer summer_{ ZoneSummer::Options{} };
-  ZoneTurn turn_{ ZoneTurn::Options{} };
+  ZoneLoadAggregator zoneAggregator_{ ZoneLoadAggregator::Options{} };
+  ZoneAggregatorRole turn_{ ZoneAggregatorRole::Options{} };
   std::minstd_rand random_;
   TimerSubscription repeat_;
   TimerSubscription zone_;
--- a/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
@@ -60,7 +60,7 @@
     std::chrono::milliseconds round_{ 1000 };
     // The same in a fleet in which a host follows only its own zone in full;
     // not below round_.
-    std::chrono::milliseconds largeRound_{ 1000 };
+    std::chrono::milliseconds largeFleetRound_{ 1000 };
     // Publishes once a round in place of after each message, but for a
     // quarantine, which other hosts need at once. With rounds of 150 ms and a
     // hundred peers the rest can wait for the next one.
@@ -73,8 +73,8 @@
     // so long before it looks into the store's list.
     std::chrono::milliseconds seedsWithin_{ 1'000 };
     std::size_t newsFanout_ = 3;
-    std::size_t partners_ = 2; // a round, in a small fleet
-    int roundsUntilGone_ = 5;
+    std::size_t roundFanout_ = 2; // a round, in a small fleet
+    int roundsUntilExpired_ = 5;
     std::size_t relayed_ = 8;    // words of others in a message
     std::size_t nearFanout_ = 8; // all of a small fleet
   };
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -12,7 +12,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "gooseberrylift/gooseberrylift-attempts.h"
+#include "gooseberrylift/gooseberrylift-attempt-errors.h"
 #include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-fleet.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
@@ -22,8 +22,8 @@
 #include "gooseberrylift/internal/gooseberrylift-route-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-suspect-watch.h"
 #include "gooseberrylift/internal/gooseberrylift-wire-dialect.h"
-#include "gooseberrylift/limits/gooseberrylift-long-hold.h"
-#include "gooseberrylift/limits/gooseberrylift-repeat-budget.h"
+#include "gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h"
+#include "gooseberrylift/limits/gooseberrylift-long-prompt-hold.h"
 #include "gooseberrylift/streams/gooseberrylift-event-splitter.h"
 
 namespace gooseberrylift {
@@ -32,7 +32,7 @@
 struct SharedRepeatBudget
 {
   std::mutex mutex_; // guards what follows
-  RepeatBudget budget_{ RepeatBudget::Options{} };
+  FleetRetryBudget budget_{ FleetRetryBudget::Options{} };
   std::size_t hosts_ = 1; // that share the budget
 };
 
@@ -105,13 +105,13 @@
   std::chrono::milliseconds RemainingTime() const;
   Error Refusal(const FleetPlacement& aPlacement,
                 std::chrono::milliseconds aReturn) const;
-  HoldVerdict JudgeHold(const FleetPlacement& aPlacement) const;
+  HoldDecision JudgeHold(const FleetPlacement& aPlacement) const;
   std::optional<std::chrono::milliseconds> WaitForRoom();
   std::optional<std::chrono::milliseconds> WaitForPermit();
   Error NoEndpoint();
-  HoldQuestion MakeHoldQuestion(const EngineFigures& aFigures,
-                                std::chrono::microseconds aWait) const;
-  const EngineFigures* Figures() const;
+  HoldInput MakeHoldInput(const EngineProfile& aFigures,
+                          std::chrono::microseconds aWait) const;
+  const EngineProfile* Figures() const;
   FleetQuery MakeQuery() const;
   HttpRequest MakeSend(const FleetPlacement& aPlacement,
                        const MemoryHolds* aHolds) const;
@@ -155,7 +155,7 @@
   Parts parts_;
   HttpExchange& exchange_;
   RoutedRequest request_;
-  Attempts attempts_;
+  AttemptErrors attempts_;
   EventSequence events_;
   std::set<std::string> tried_;
   int sends_ = 0; // endpoints that got bytes of the request
--- a/include/gooseberrylift/internal/gooseberrylift-store-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store-follower.h
@@ -16,7 +16,7 @@
 #include "gooseberrylift/gooseberrylift-peer-table.h"
 #include "gooseberrylift/internal/gooseberrylift-store.h"
 #include "gooseberrylift/membership/gooseberrylift-freshness-lease.h"
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 #include "gooseberrylift/membership/gooseberrylift-store-view.h"
 
 namespace gooseberrylift {
@@ -24,8 +24,8 @@
 // Follows three kinds of objects: routes, endpoints and evacuations of
 // availability zones. Each exchange between two hosts carries a headline of
 // what each knows; who lacks something fetches it from the other. So what one
-// host read reaches all in a few exchanges, and ReadTurn sees to it that one
-// host reads.
+// host read reaches all in a few exchanges, and StoreReadSchedule sees to it
+// that one host reads.
 //
 // Reading: the routes are listed each time, since only a linearizable read
 // proves that no key was taken away. The store counts all its changes in one
@@ -71,7 +71,7 @@
     // This host read something new.
     std::function<void()> onNews_;
     // Where this host stands among the live ones.
-    std::function<ReadRank()> rank_;
+    std::function<ReaderRank()> rank_;
   };
 
   struct Options
@@ -101,7 +101,7 @@
     // How long after a list of any age this host relies on others for endpoint
     // changes instead of listing the endpoints again.
     std::chrono::milliseconds peerUpdateWait_{ 1'000 };
-    ReadTurn::Options turn_{};
+    StoreReadSchedule::Options turn_{};
   };
 
   StoreFollower(Parts aParts, Options aOptions);
@@ -110,13 +110,13 @@
   boost::asio::awaitable<void> Run();
 
   /// Gives what an exchange with another host is to carry.
-  StoreHeadline Headline() const;
+  StoreStatus Headline() const;
 
   /// Takes in another host's headline.
   /// @param aAsked when the question was sent that it answers; nothing when it
   /// came with a question of the other host
   void OnHeadline(const PeerMember& aPeer,
-                  const StoreHeadline& aHeadline,
+                  const StoreStatus& aHeadline,
                   std::optional<BootTime> aAsked);
 
   /// Makes a host without a proof read at once, for a request that waits.
@@ -127,7 +127,7 @@
   nlohmann::json Answer(const nlohmann::json& aParams) const;
 
   /// Says whether this host's last try to read the store failed.
-  bool HasLostStore() const { return turn_.HasLostStore(); }
+  bool IsStoreUnavailable() const { return turn_.IsStoreUnavailable(); }
 
 private:
   boost::asio::awaitable<void> Read();
@@ -140,7 +140,7 @@
   void TakeInList(const std::string& aKind, StoreView& aView, StoreList aList);
   nlohmann::json Question() const;
   void TakeIn(const nlohmann::json& aAnswer, BootTime aAsked);
-  void Publish(const std::string& aKind, const ViewNews& aNews);
+  void Publish(const std::string& aKind, const ViewUpdate& aNews);
   void OnProof(BootTime aBegan);
   void NoteGap(BootTime aBegan);
   void NoteReading(bool aReads);
@@ -148,12 +148,12 @@
 
   Parts parts_;
   Options options_;
-  ReadTurn turn_;
+  StoreReadSchedule turn_;
   StoreView routes_{ StoreView::Options{} };
   StoreView endpoints_{ StoreView::Options{} };
   StoreView evacuations_{ StoreView::Options{} };
   std::optional<BootTime> proof_;
-  ViewNews unprovenRoutes_; // from a list of any age, not published yet
+  ViewUpdate unprovenRoutes_; // from a list of any age, not published yet
   std::optional<TimePoint> anyAgeReadAt_;
   bool fetching_ = false;
   bool reads_ = false; // as last logged
--- a/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
+++ b/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
@@ -14,7 +14,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
-#include "gooseberrylift/limits/gooseberrylift-crash-suspects.h"
+#include "gooseberrylift/limits/gooseberrylift-poison-request-detector.h"
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
 
 namespace gooseberrylift {
@@ -35,11 +35,11 @@
 
   /// Notes that an endpoint broke off a request, and looks soon after whether
   /// it still listens.
-  void OnBroken(const std::string& aFingerprint,
-                const ListedEndpoint& aEndpoint);
+  void OnConnectionLost(const std::string& aFingerprint,
+                        const ListedEndpoint& aEndpoint);
 
   /// Notes that an endpoint has ended: it has started again.
-  void OnEnded(const std::string& aEndpoint);
+  void OnEndpointExit(const std::string& aEndpoint);
 
   /// Says whether a request is to be refused.
   bool IsQuarantined(const std::string& aFingerprint);
@@ -57,7 +57,7 @@
 
   Parts parts_;
   std::mutex mutex_; // guards what follows
-  CrashSuspects suspects_{ CrashSuspects::Options{} };
+  PoisonRequestDetector suspects_{ PoisonRequestDetector::Options{} };
   std::set<std::string> looking_; // endpoints that are being looked at
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
+++ b/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
@@ -57,7 +57,7 @@
   bool notRun_ = false;   // proves that the request was not run
   bool replaced_ = false; // another incarnation has the address now
   std::string atFault_;   // address of a helper that failed; empty: none
-  RateNotice rate_;
+  AdvertisedRateLimit rate_;
 };
 
 // Where the platform's store keeps what the gateway follows.
--- a/include/gooseberrylift/limits/gooseberrylift-endpoint-rates.h
+++ b/include/gooseberrylift/limits/gooseberrylift-endpoint-rate-limits.h
@@ -4,8 +4,8 @@
 // limit late, and would never learn that it was lifted while it sends nothing
 // there.
 
-#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATES_H_
-#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATES_H_
+#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITS_H_
+#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITS_H_
 
 #include <chrono>
 #include <cstdint>
@@ -22,7 +22,7 @@
 // Keeps one entry for each incarnation that has ever announced a limit. A limit
 // applies until a response comes without one, however long that takes: lifting
 // it too early would overload the endpoint again. Not thread-safe.
-class EndpointRates
+class EndpointRateLimits
 {
 public:
   struct Options
@@ -38,7 +38,7 @@
 
   using IsListed = std::function<bool(const Incarnation& aEndpoint)>;
 
-  explicit EndpointRates(Options aOptions)
+  explicit EndpointRateLimits(Options aOptions)
     : options_(aOptions)
   {
   }
@@ -48,7 +48,7 @@
   /// last reported, the response may predate the limit and doesn't lift it.
   /// @return the entry, if it changed
   std::optional<EndpointRate> OnAnswer(const Incarnation& aEndpoint,
-                                       const RateNotice& aNotice,
+                                       const AdvertisedRateLimit& aNotice,
                                        TimePoint aSent,
                                        TimePoint aNow);
 
@@ -95,4 +95,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATES_H_
+#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITS_H_
--- a/include/gooseberrylift/limits/gooseberrylift-repeat-budget.h
+++ b/include/gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h
@@ -2,8 +2,8 @@
 // hosts. If endpoints fail many requests at once, unlimited retries double the
 // load on the remaining endpoints, and the fleet's capacity goes into retries.
 
-#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_REPEAT_BUDGET_H_
-#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_REPEAT_BUDGET_H_
+#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_FLEET_RETRY_BUDGET_H_
+#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_FLEET_RETRY_BUDGET_H_
 
 #include <array>
 #include <chrono>
@@ -45,7 +45,7 @@
 // split evenly. The part proportional to the requests needs no split, because
 // each host counts its own requests. So the sum over all hosts never exceeds
 // the budget, even while they can't reach each other. Not thread-safe.
-class RepeatBudget
+class FleetRetryBudget
 {
 public:
   struct Options
@@ -59,7 +59,7 @@
     double safetyFactor_ = 0.9;
   };
 
-  explicit RepeatBudget(Options aOptions)
+  explicit FleetRetryBudget(Options aOptions)
     : options_(aOptions)
   {
   }
@@ -72,9 +72,9 @@
   /// Counts a retry if this host's share of the budget allows it.
   /// @param aHosts the number of hosts that share the budget, at least 1
   /// @return whether the retry is allowed
-  bool TryRepeat(const std::string& aService,
-                 std::size_t aHosts,
-                 TimePoint aNow);
+  bool TryRetry(const std::string& aService,
+                std::size_t aHosts,
+                TimePoint aNow);
 
   /// Returns the number of retries that this host has left now.
   double Remaining(const std::string& aService,
@@ -94,4 +94,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_REPEAT_BUDGET_H_
+#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_FLEET_RETRY_BUDGET_H_
--- a/include/gooseberrylift/limits/gooseberrylift-long-hold.h
+++ b/include/gooseberrylift/limits/gooseberrylift-long-prompt-hold.h
@@ -5,43 +5,46 @@
 // the burst. Held at this host they wait as long but slow nothing else down,
 // and the shorter ones, which have more value per prefill time, are sent first.
 
-#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_HOLD_H_
-#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_HOLD_H_
+#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_PROMPT_HOLD_H_
+#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_PROMPT_HOLD_H_
 
 #include <chrono>
 
 namespace gooseberrylift {
 
 // The state of a long prompt that could be sent now.
-struct HoldQuestion
+struct HoldInput
 {
   // Wait at its engines before its prefill starts, plus a share of the delay
   // that it would cause to other requests there.
   std::chrono::microseconds wait_{ 0 };
-  std::chrono::microseconds read_{ 0 };      // prefill time on a single engine
-  std::chrono::microseconds part_{ 0 };      // the part of one of its engines
-  std::chrono::milliseconds waited_{ 0 };    // since it arrived
-  std::chrono::milliseconds remaining_{ 0 }; // until its deadline
-  std::chrono::milliseconds patience_{ 0 };  // caller's stall timeout
-  std::chrono::milliseconds objective_{ 0 }; // for the first token
-  bool blind_ = false; // wait_ doesn't include the requests of other hosts
+  std::chrono::microseconds prefill_{ 0 }; // prefill time on a single engine
+  std::chrono::microseconds partialPrefill_{
+    0
+  }; // the part of one of its engines
+  std::chrono::milliseconds sinceArrival_{ 0 };       // since it arrived
+  std::chrono::milliseconds remaining_{ 0 };          // until its deadline
+  std::chrono::milliseconds callerStallTimeout_{ 0 }; // caller's stall timeout
+  std::chrono::milliseconds objective_{ 0 };          // for the first token
+  bool peerLoadUnknown_ =
+    false; // wait_ doesn't include the requests of other hosts
 };
 
 struct HoldOptions
 {
-  // The wait at its engines, as in HoldQuestion, up to which a prompt with a
+  // The wait at its engines, as in HoldInput, up to which a prompt with a
   // prefill of one second is sent. It is scaled up for shorter prompts and down
   // for longer ones. Higher values let the engines' queues grow again, lower
   // ones leave engines idle.
   std::chrono::milliseconds allowedWait_{ 400 };
   // Bounds of the scaling factor.
-  double leastFactor_ = 0.15;
-  double mostFactor_ = 2;
-  // After this share of the time that its caller waits, less ownRead_ prefills,
-  // a prompt is sent or rejected. Lower values send prompts to busy engines
-  // that could still have waited; with higher ones more prompts miss their
-  // callers' timeouts.
-  double latestShare_ = 0.9;
+  double minFactor_ = 0.15;
+  double maxFactor_ = 2;
+  // After this share of the time that its caller waits, less ownPrefillFactor_
+  // prefills, a prompt is sent or rejected. Lower values send prompts to busy
+  // engines that could still have waited; with higher ones more prompts miss
+  // their callers' timeouts.
+  double maxHoldShare_ = 0.9;
   // A host that doesn't know the load of the others holds prompts for this
   // share of the objective: load reports arrive within a quarter of a second
   // after a start. Otherwise all prompts that are retried after a power outage
@@ -50,29 +53,30 @@
   // Factor on the allowed wait of a prompt that will miss its objective anyway,
   // so that prompts that can still meet theirs are sent first. With zero, more
   // of the late prompts miss their callers' timeouts.
-  double lateFactor_ = 0.25;
+  double missedObjectiveFactor_ = 0.25;
   // Prefills of its own part that are reserved at the end of the hold, so that
   // a prompt sent then still completes in time. Without it, the largest prompts
   // are held until they can't complete any more, and then rejected with hardly
   // a second left for a retry.
-  double ownRead_ = 1;
+  double ownPrefillFactor_ = 1;
   // The wait up to which a prompt is sent at the end of the hold. Above it, the
   // prompt is rejected, and its caller may retry after the burst. Sending it
   // regardless of the wait makes a hundred short requests late.
-  std::chrono::milliseconds lastWait_{ 150 };
-  std::chrono::milliseconds step_{ 40 }; // until the next decision
+  std::chrono::milliseconds finalAllowedWait_{ 150 };
+  std::chrono::milliseconds recheckInterval_{ 40 }; // until the next decision
 };
 
-enum class HoldVerdict
+enum class HoldDecision
 {
   kSend,
-  kHold,  // decide again after HoldOptions::step_
-  kGiveUp // it can't complete in time, or only by delaying other requests
+  kHold,  // decide again after HoldOptions::recheckInterval_
+  kReject // it can't complete in time, or only by delaying other requests
 };
 
 /// Decides whether a long prompt is sent now, held or rejected.
-HoldVerdict HoldLong(const HoldQuestion& aInput, const HoldOptions& aOptions);
+HoldDecision DecideLongPromptHold(const HoldInput& aInput,
+                                  const HoldOptions& aOptions);
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_HOLD_H_
+#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_LONG_PROMPT_HOLD_H_
--- a/include/gooseberrylift/limits/gooseberrylift-crash-suspects.h
+++ b/include/gooseberrylift/limits/gooseberrylift-poison-request-detector.h
@@ -3,8 +3,8 @@
 // without the quarantine each retry crashes two more engines and aborts
 // everything that they are running.
 
-#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_CRASH_SUSPECTS_H_
-#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_CRASH_SUSPECTS_H_
+#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_POISON_REQUEST_DETECTOR_H_
+#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_POISON_REQUEST_DETECTOR_H_
 
 #include <chrono>
 #include <map>
@@ -19,9 +19,9 @@
 
 /// Returns a hash of a request that is the same for each of its retries, as 16
 /// hexadecimal digits.
-std::string FingerprintOf(std::string_view aTarget,
-                          std::string_view aCaller,
-                          std::string_view aBody);
+std::string RequestFingerprint(std::string_view aTarget,
+                               std::string_view aCaller,
+                               std::string_view aBody);
 
 // Counts, for each request, the endpoints that crashed while they ran it. A
 // lost connection alone is no evidence of a crash: responses also get lost
@@ -34,7 +34,7 @@
 // the same request is rarely a coincidence. If several requests share the same
 // two crashes, a third one identifies the cause. Quarantine entries are sent to
 // all hosts. Not thread-safe.
-class CrashSuspects
+class PoisonRequestDetector
 {
 public:
   using WallTime = std::chrono::system_clock::time_point;
@@ -59,21 +59,22 @@
     std::size_t maxEntries_ = 256;
   };
 
-  explicit CrashSuspects(Options aOptions)
+  explicit PoisonRequestDetector(Options aOptions)
     : options_(aOptions)
   {
   }
 
   /// Records that the connection to an endpoint broke while it ran a request.
   /// @return true if the request is quarantined as a result
-  bool OnBroken(const std::string& aFingerprint,
-                const std::string& aEndpoint,
-                WallTime aNow);
+  bool OnConnectionLost(const std::string& aFingerprint,
+                        const std::string& aEndpoint,
+                        WallTime aNow);
 
   /// Records the confirmation that an endpoint has just exited: its address
   /// refuses connections, or it has restarted.
   /// @return the fingerprints of the requests that are quarantined as a result
-  std::vector<std::string> OnEnded(const std::string& aEndpoint, WallTime aNow);
+  std::vector<std::string> OnEndpointExit(const std::string& aEndpoint,
+                                          WallTime aNow);
 
   /// Returns whether a request must be rejected.
   bool IsQuarantined(const std::string& aFingerprint, WallTime aNow) const;
@@ -109,4 +110,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_CRASH_SUSPECTS_H_
+#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_POISON_REQUEST_DETECTOR_H_
--- a/include/gooseberrylift/limits/gooseberrylift-rate-granter.h
+++ b/include/gooseberrylift/limits/gooseberrylift-rate-granter.h
@@ -17,10 +17,10 @@
 namespace gooseberrylift {
 
 // The response to a host that requests permits.
-struct RateVerdict
+struct RateGrant
 {
-  int permits_ = 0;                        // one request each
-  std::chrono::milliseconds retryIn_{ 0 }; // if there are no permits
+  int permits_ = 0;                           // one request each
+  std::chrono::milliseconds retryAfter_{ 0 }; // if there are no permits
 };
 
 // Grants the permits of the endpoints that this host was chosen for. All hosts
@@ -65,10 +65,10 @@
   /// @param aGranters the number of hosts that grant permits for this endpoint,
   /// each an even share of the limit; more than one while this host is
   /// disconnected from all others
-  RateVerdict Ask(const Incarnation& aEndpoint,
-                  double aPerSecond,
-                  std::size_t aGranters,
-                  TimePoint aNow);
+  RateGrant RequestPermits(const Incarnation& aEndpoint,
+                           double aPerSecond,
+                           std::size_t aGranters,
+                           TimePoint aNow);
 
   /// Removes an endpoint whose limit was lifted, or for which another host now
   /// grants permits.
@@ -93,8 +93,8 @@
 /// hashing: hosts that know the same host names make the same choice, and the
 /// loss of a host moves only the endpoints that it was chosen for.
 /// @return the host's name; empty if aHosts is empty
-std::string GranterOf(const Incarnation& aEndpoint,
-                      const std::vector<std::string>& aHosts);
+std::string ChooseGranter(const Incarnation& aEndpoint,
+                          const std::vector<std::string>& aHosts);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/limits/gooseberrylift-rate-permits.h
+++ b/include/gooseberrylift/limits/gooseberrylift-rate-permits.h
@@ -42,20 +42,20 @@
 
   /// Marks a permit request as pending, if this host should send one now.
   /// @return whether to send it
-  bool BeginAsking(const Incarnation& aEndpoint, TimePoint aNow);
+  bool TryBeginRequest(const Incarnation& aEndpoint, TimePoint aNow);
 
   /// Processes the response to the pending permit request.
-  void OnVerdict(const Incarnation& aEndpoint,
-                 const RateVerdict& aGrant,
-                 TimePoint aNow);
+  void OnGrant(const Incarnation& aEndpoint,
+               const RateGrant& aGrant,
+               TimePoint aNow);
 
   /// Records that the pending permit request got no response.
-  void OnUnanswered(const Incarnation& aEndpoint, TimePoint aNow);
+  void OnRequestFailed(const Incarnation& aEndpoint, TimePoint aNow);
 
   /// Returns the time until the next permit request; zero or less if it is due
   /// or pending.
-  std::chrono::milliseconds OpensIn(const Incarnation& aEndpoint,
-                                    TimePoint aNow) const;
+  std::chrono::milliseconds TimeUntilPermit(const Incarnation& aEndpoint,
+                                            TimePoint aNow) const;
 
   /// Removes an endpoint whose limit was lifted.
   void Forget(const Incarnation& aEndpoint) { states_.erase(aEndpoint); }
--- a/include/gooseberrylift/limits/gooseberrylift-route-admission.h
+++ b/include/gooseberrylift/limits/gooseberrylift-route-admission.h
@@ -13,12 +13,12 @@
 namespace gooseberrylift {
 
 // The state of a request that needs an admission decision.
-struct AdmissionQuestion
+struct AdmissionInput
 {
-  std::chrono::microseconds predicted_{ 0 }; // time to its first token
-  std::chrono::milliseconds remaining_{ 0 }; // until its deadline
-  std::chrono::milliseconds patience_{ 0 };  // caller's stall timeout
-  std::chrono::milliseconds held_{ 0 };      // time held since its arrival
+  std::chrono::microseconds predicted_{ 0 };          // time to its first token
+  std::chrono::milliseconds remaining_{ 0 };          // until its deadline
+  std::chrono::milliseconds callerStallTimeout_{ 0 }; // caller's stall timeout
+  std::chrono::milliseconds held_{ 0 }; // time held since its arrival
   std::uint64_t draw_ = 0; // random number that spreads the retries
 };
 
@@ -27,12 +27,12 @@
 /// should retry: the time by which the prediction is too long, plus a random
 /// part of up to as much again, so that requests rejected together don't return
 /// together
-std::optional<std::chrono::milliseconds> RefuseFor(
-  const AdmissionQuestion& aInput);
+std::optional<std::chrono::milliseconds> RetryDelayIfRefused(
+  const AdmissionInput& aInput);
 
 /// Returns the longest retry delay for a caller with the given remaining time.
 /// Callers don't wait for longer ones.
-std::chrono::milliseconds LatestReturnOf(std::chrono::milliseconds aRemaining);
+std::chrono::milliseconds MaxRetryDelay(std::chrono::milliseconds aRemaining);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/limits/gooseberrylift-patience.h
+++ b/include/gooseberrylift/limits/gooseberrylift-stall-timeout.h
@@ -3,8 +3,8 @@
 // request is moved to another endpoint too early, it runs twice and doubles the
 // overload; if too late, its caller has disconnected.
 
-#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_PATIENCE_H_
-#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_PATIENCE_H_
+#ifndef GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_STALL_TIMEOUT_H_
+#define GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_STALL_TIMEOUT_H_
 
 #include <chrono>
 #include <optional>
@@ -17,7 +17,7 @@
 /// after which a caller abandons a stream. Callers of this fleet are known to
 /// wait for the longest of two seconds, four times the objective and eight
 /// times the longest gap. For other routes, returns the route's timeout.
-std::chrono::milliseconds CallerPatience(const Route& aRoute);
+std::chrono::milliseconds CallerStallTimeout(const Route& aRoute);
 
 /// Returns the time without data from an endpoint after which a retryable
 /// request should be sent to another endpoint. For streams this is half of the
@@ -25,18 +25,18 @@
 /// deliberately ignores the predicted time: predictions are least accurate when
 /// the fleet is busy, and a timeout based on them would repeat the prefill of
 /// many requests just then.
-std::chrono::milliseconds SilenceLimit(const Route& aRoute);
+std::chrono::milliseconds EndpointStallTimeout(const Route& aRoute);
 
 // When an endpoint last sent data, and its load, as seen by a request
 // that waits for its response or for more of it.
-struct EndpointSigns
+struct EndpointActivity
 {
   // Time since it last sent data to this request, and to any request of this
   // host.
-  std::chrono::milliseconds silentHere_{ 0 };
-  std::chrono::milliseconds silent_{ 0 };
+  std::chrono::milliseconds requestSilence_{ 0 };
+  std::chrono::milliseconds hostSilence_{ 0 };
   // The same for requests of other hosts; nothing if they have none there.
-  std::optional<std::chrono::milliseconds> silentToPeers_;
+  std::optional<std::chrono::milliseconds> peerSilence_;
   bool begun_ = false; // it has sent a part of this request's response
   // It has begun to answer a request that was sent later.
   bool overtaken_ = false;
@@ -52,9 +52,9 @@
 /// would queue again and lose its prefill, and so an overload would sustain
 /// itself.
 /// @param aLimit the endpoint's stall timeout
-bool LooksHung(const EndpointSigns& aActivity,
-               std::chrono::milliseconds aLimit);
+bool IsRequestStalled(const EndpointActivity& aActivity,
+                      std::chrono::milliseconds aLimit);
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_PATIENCE_H_
+#endif // GOOSEBERRYLIFT_LIMITS_GOOSEBERRYLIFT_STALL_TIMEOUT_H_
--- a/include/gooseberrylift/membership/gooseberrylift-word-pace.h
+++ b/include/gooseberrylift/membership/gooseberrylift-load-message-pacer.h
@@ -4,8 +4,8 @@
 // occupy; if every change went to hundreds of hosts at once, sending would take
 // all of a host's time.
 
-#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_WORD_PACE_H_
-#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_WORD_PACE_H_
+#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_PACER_H_
+#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_PACER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -19,7 +19,7 @@
 // places few requests, so the limit is rarely reached. Finished requests are
 // less urgent: they are covered by snapshots of the whole load, which are sent
 // at an interval that depends on the number of peers. Not thread-safe.
-class WordPace
+class LoadMessagePacer
 {
 public:
   struct Options
@@ -46,29 +46,29 @@
     std::chrono::milliseconds repeatInterval_{ 250 };
   };
 
-  explicit WordPace(Options aOptions)
+  explicit LoadMessagePacer(Options aOptions)
     : options_(aOptions)
   {
   }
 
   /// Returns whether a delta may be sent now.
   /// @param aPeers number of recipients
-  bool MayTell(TimePoint aNow, std::size_t aPeers) const;
+  bool MaySendDelta(TimePoint aNow, std::size_t aPeers) const;
 
   /// Records that a delta was sent.
-  void OnTold(TimePoint aNow, std::size_t aPeers);
+  void OnDeltaSent(TimePoint aNow, std::size_t aPeers);
 
   /// Returns the time between two snapshots.
   std::chrono::milliseconds Interval(std::size_t aPeers) const;
 
   /// Returns when a snapshot is to be sent after a change.
-  TimePoint DueAt(TimePoint aNow, std::size_t aPeers) const;
+  TimePoint NextSnapshotTime(TimePoint aNow, std::size_t aPeers) const;
 
   /// Returns whether the snapshot is to be repeated without a change.
-  bool MustRepeat(TimePoint aNow, std::size_t aPeers) const;
+  bool IsRepeatDue(TimePoint aNow, std::size_t aPeers) const;
 
   /// Records that a snapshot was sent.
-  void OnSent(TimePoint aNow) { lastSnapshot_ = aNow; }
+  void OnSnapshotSent(TimePoint aNow) { lastSnapshot_ = aNow; }
 
 private:
   double UsedTokens(TimePoint aNow) const;
@@ -83,4 +83,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_WORD_PACE_H_
+#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_PACER_H_
--- a/include/gooseberrylift/membership/gooseberrylift-load-word.h
+++ b/include/gooseberrylift/membership/gooseberrylift-load-message.h
@@ -1,8 +1,8 @@
 // Datagrams in which hosts tell each other how much load they have placed on
 // each endpoint.
 
-#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_WORD_H_
-#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_WORD_H_
+#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_H_
+#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,36 +19,36 @@
 inline constexpr std::size_t kSharesPerDatagram = 30;
 
 // What a datagram contains.
-enum class LoadWordPart
+enum class LoadMessageKind
 {
-  kFirst,  // the first datagram of the sender's whole load
-  kMore,   // a further datagram of the same, added to the first
-  kChange, // only endpoints that received new requests
+  kSnapshot,          // the first datagram of the sender's whole load
+  kSnapshotContinued, // a further datagram of the same, added to the first
+  kDelta,             // only endpoints that received new requests
 };
 
 // A load message of one host, or a datagram of it.
-struct LoadWord
+struct LoadMessage
 {
   std::string host_;
   std::uint64_t sequence_ = 0; // rises with each message, also across restarts
-  LoadWordPart part_ = LoadWordPart::kFirst;
+  LoadMessageKind kind_ = LoadMessageKind::kSnapshot;
   std::vector<EndpointShare> shares_;
   // Set if the message holds the total load of an availability zone, sent by
   // the host that aggregates it.
   std::string zone_{};
   // For such a message: the receiver is to forward it to the hosts of its own
   // zone.
-  bool passOn_ = false;
+  bool relayToZone_ = false;
 };
 
 /// Encodes a message as one or more datagrams, each small enough for one
-/// packet. A kChange message must fit into one; its sender splits it.
-std::vector<std::string> EncodeLoadWord(const LoadWord& aMessage);
+/// packet. A kDelta message must fit into one; its sender splits it.
+std::vector<std::string> EncodeLoadMessage(const LoadMessage& aMessage);
 
 /// Decodes a datagram.
 /// @return nothing if the bytes are not a valid datagram
-std::optional<LoadWord> DecodeLoadWord(std::string_view aBytes);
+std::optional<LoadMessage> DecodeLoadMessage(std::string_view aBytes);
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_WORD_H_
+#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_LOAD_MESSAGE_H_
--- a/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
+++ b/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "gooseberrylift/gooseberrylift-peer-table.h"
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 
 namespace gooseberrylift {
 
 // The recipients of load messages, each as IP:port.
-struct WordPeers
+struct LoadMessagePeers
 {
   // Recipients of every message: all other hosts in a small fleet, the hosts
   // of the own zone in a large one.
@@ -33,7 +33,7 @@
 // The other hosts, grouped by how this host communicates with them.
 struct PeerGroups
 {
-  WordPeers words_;
+  LoadMessagePeers words_;
   std::set<std::string> zoneHosts_; // names of the hosts of the own zone
   // Live hosts to exchange store status with. In a small fleet all of them are
   // near, in a large one those of the own zone.
@@ -56,13 +56,13 @@
 PeerGroups GroupPeers(const PeerSnapshot& aPeers);
 
 /// Picks at random the hosts to exchange store status with in one round.
-std::vector<PeerMember> DrawPeers(const PeerGroups& aGroups,
-                                  std::minstd_rand& aRandom);
+std::vector<PeerMember> SamplePeers(const PeerGroups& aGroups,
+                                    std::minstd_rand& aRandom);
 
 /// Ranks a host among the live ones for reading the store.
 /// @param aSelf this host
-ReadRank RankAmong(const ReadCandidate& aSelf,
-                   const std::vector<Digest>& aLive);
+ReaderRank RankAmong(const ReaderCandidate& aSelf,
+                     const std::vector<Digest>& aLive);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/membership/gooseberrylift-read-turn.h
+++ b/include/gooseberrylift/membership/gooseberrylift-store-read-schedule.h
@@ -2,8 +2,8 @@
 // paid for, so their rate must not grow with the number of hosts: a fleet of
 // any size makes one or two calls a second.
 
-#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_READ_TURN_H_
-#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_READ_TURN_H_
+#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_READ_SCHEDULE_H_
+#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_READ_SCHEDULE_H_
 
 #include <chrono>
 #include <cstddef>
@@ -16,17 +16,17 @@
 namespace gooseberrylift {
 
 // The position of a host among the live hosts that it knows.
-struct ReadRank
+struct ReaderRank
 {
   std::size_t hosts_ = 1; // live hosts, including this one
   // The number of hosts ranked before this one, and how many of them report
   // that they can read the store.
   std::size_t rank_ = 0;
-  std::size_t before_ = 0;
+  std::size_t reachableBefore_ = 0;
 };
 
 // A live host, as described by its own digest.
-struct ReadCandidate
+struct ReaderCandidate
 {
   std::string host_;
   bool storeUnreachable_ = false; // its last attempt to read the store failed
@@ -41,8 +41,8 @@
 /// compute the same order, and the failure of one host does not reorder others.
 /// @param aSelf this host
 /// @param aOthers the other live hosts
-ReadRank RankReaders(const ReadCandidate& aSelf,
-                     const std::vector<ReadCandidate>& aOthers);
+ReaderRank RankReaders(const ReaderCandidate& aSelf,
+                       const std::vector<ReaderCandidate>& aOthers);
 
 // The same rule applies from one host to thousands: a host reads the store when
 // the latest read that it knows of, its own or another host's, is older than
@@ -59,7 +59,7 @@
 // of all other hosts, and hundreds would try at once during a store outage.
 //
 // Not thread-safe.
-class ReadTurn
+class StoreReadSchedule
 {
 public:
   struct Options
@@ -94,7 +94,7 @@
     double fleetRetriesPerSecond_ = 4;
   };
 
-  explicit ReadTurn(Options aOptions)
+  explicit StoreReadSchedule(Options aOptions)
     : options_(aOptions)
   {
   }
@@ -103,7 +103,7 @@
   /// @param aAge of the latest read known; nothing without one
   std::chrono::milliseconds DueIn(TimePoint aNow,
                                   std::optional<std::chrono::milliseconds> aAge,
-                                  const ReadRank& aRank) const;
+                                  const ReaderRank& aRank) const;
 
   /// Delays the next attempt until a time.
   void DelayUntil(TimePoint aUntil) { nextAttempt_ = aUntil; }
@@ -115,18 +115,19 @@
   void OnRead(TimePoint aNow);
 
   /// Records that this host failed to read the store.
-  void OnFailed(TimePoint aNow, const ReadRank& aRank);
+  void OnFailed(TimePoint aNow, const ReaderRank& aRank);
 
   /// Returns whether this host has read the store within the last few
   /// intervals.
-  bool Reads(TimePoint aNow) const;
+  bool IsActiveReader(TimePoint aNow) const;
 
   /// Returns whether this host's last attempt failed.
-  bool HasLostStore() const { return consecutiveFailures_ > 0; }
+  bool IsStoreUnavailable() const { return consecutiveFailures_ > 0; }
 
 private:
-  std::chrono::milliseconds MaxAge(TimePoint aNow, const ReadRank& aRank) const;
-  std::chrono::milliseconds RetryDelay(const ReadRank& aRank) const;
+  std::chrono::milliseconds MaxAge(TimePoint aNow,
+                                   const ReaderRank& aRank) const;
+  std::chrono::milliseconds RetryDelay(const ReaderRank& aRank) const;
 
   Options options_;
   int consecutiveFailures_ = 0;
@@ -136,4 +137,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_READ_TURN_H_
+#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_READ_SCHEDULE_H_
--- a/include/gooseberrylift/membership/gooseberrylift-headline-word.h
+++ b/include/gooseberrylift/membership/gooseberrylift-store-status-message.h
@@ -1,8 +1,8 @@
 // Datagrams in which hosts exchange, several times a second, how much of the
 // store's state each of them has.
 
-#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_HEADLINE_WORD_H_
-#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_HEADLINE_WORD_H_
+#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_STATUS_MESSAGE_H_
+#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_STATUS_MESSAGE_H_
 
 #include <cstdint>
 #include <optional>
@@ -15,21 +15,22 @@
 
 // A request or its response. Both carry the sender's status. The proof age is
 // used only in a response, and counted back from when the request was sent.
-struct HeadlineWord
+struct StoreStatusMessage
 {
   std::string host_;
-  std::uint64_t question_ = 0; // random; echoed in the response
-  bool isAnswer_ = false;
-  StoreHeadline headline_;
+  std::uint64_t requestId_ = 0; // random; echoed in the response
+  bool isResponse_ = false;
+  StoreStatus storeStatus_;
 };
 
 /// Encodes a message, small enough for one packet.
-std::string EncodeHeadlineWord(const HeadlineWord& aMessage);
+std::string EncodeStoreStatusMessage(const StoreStatusMessage& aMessage);
 
 /// Decodes a message.
 /// @return nothing if the bytes are not a valid message
-std::optional<HeadlineWord> DecodeHeadlineWord(std::string_view aBytes);
+std::optional<StoreStatusMessage> DecodeStoreStatusMessage(
+  std::string_view aBytes);
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_HEADLINE_WORD_H_
+#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_STORE_STATUS_MESSAGE_H_
--- a/include/gooseberrylift/membership/gooseberrylift-store-view.h
+++ b/include/gooseberrylift/membership/gooseberrylift-store-view.h
@@ -19,7 +19,7 @@
 namespace gooseberrylift {
 
 // An object as it was read from the store.
-struct ViewedObject
+struct CachedObject
 {
   std::string name_;
   std::string version_; // assigned by the store at the object's last change
@@ -27,10 +27,10 @@
 };
 
 // The changes of one kind that one host sends to another.
-struct ViewChanges
+struct StoreDelta
 {
   std::uint64_t revision_ = 0; // store revision up to which this is complete
-  std::vector<ViewedObject> objects_; // new or changed
+  std::vector<CachedObject> objects_; // new or changed
   std::vector<std::string> removed_;  // names
   // All existing names, in order. Set if the sender cannot tell which objects
   // were removed.
@@ -39,7 +39,7 @@
 
 // A summary of a host's views. The receiver can tell from it whether it lacks
 // any changes.
-struct StoreHeadline
+struct StoreStatus
 {
   // Store revisions up to which the host's views are complete; 0 for none.
   std::uint64_t routes_ = 0;
@@ -51,9 +51,9 @@
 };
 
 // What an update changed in a view.
-struct ViewNews
+struct ViewUpdate
 {
-  std::vector<ViewedObject> objects_; // new or changed
+  std::vector<CachedObject> objects_; // new or changed
   std::vector<std::string> removed_;  // names
 
   bool Empty() const { return objects_.empty() && removed_.empty(); }
@@ -88,24 +88,25 @@
   /// Applies a list of all objects at a revision. A list older than this view
   /// is ignored.
   /// @return what changed in this view
-  ViewNews OnList(std::vector<ViewedObject> aObjects, std::uint64_t aRevision);
+  ViewUpdate OnList(std::vector<CachedObject> aObjects,
+                    std::uint64_t aRevision);
 
   /// Applies changes from another host that were requested since this view's
   /// revision.
   /// @return what changed in this view
-  ViewNews OnTold(ViewChanges aChanges);
+  ViewUpdate ApplyDelta(StoreDelta aChanges);
 
   /// Returns the revision up to which this view is complete; 0 before the first
   /// list.
   std::uint64_t Revision() const { return revision_; }
 
   /// Returns the changes after a revision.
-  ViewChanges Since(std::uint64_t aRevision) const;
+  StoreDelta Since(std::uint64_t aRevision) const;
 
 private:
   struct Entry
   {
-    ViewedObject object_;
+    CachedObject object_;
     std::uint64_t changeRevision_ = 0;
   };
   struct Removal
@@ -114,13 +115,15 @@
     std::uint64_t changeRevision_ = 0;
   };
 
-  void Upsert(ViewedObject aObject, std::uint64_t aRevision, ViewNews& aUpdate);
+  void Upsert(CachedObject aObject,
+              std::uint64_t aRevision,
+              ViewUpdate& aUpdate);
   void Remove(const std::string& aName,
               std::uint64_t aRevision,
-              ViewNews& aUpdate);
+              ViewUpdate& aUpdate);
   void RemoveUnlisted(const std::set<std::string>& aListed,
                       std::uint64_t aRevision,
-                      ViewNews& aUpdate);
+                      ViewUpdate& aUpdate);
 
   Options options_;
   std::uint64_t revision_ = 0;
--- a/include/gooseberrylift/membership/gooseberrylift-zone-sums.h
+++ b/include/gooseberrylift/membership/gooseberrylift-zone-load.h
@@ -5,8 +5,8 @@
 // others would take full engines for idle. In each zone one host, the
 // aggregator, sends the zone's total load to the other zones.
 
-#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_SUMS_H_
-#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_SUMS_H_
+#ifndef GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_LOAD_H_
+#define GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_LOAD_H_
 
 #include <chrono>
 #include <cstddef>
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "gooseberrylift/gooseberrylift-endpoint.h"
-#include "gooseberrylift/membership/gooseberrylift-load-word.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-load.h"
 
 namespace gooseberrylift {
@@ -26,7 +26,7 @@
 std::string PeerNameOfZone(const std::string& aZone);
 
 // Selects which of a zone's totals to send to other zones. Not thread-safe.
-class ZoneSummer
+class ZoneLoadAggregator
 {
 public:
   struct Options
@@ -51,22 +51,22 @@
   // A message to send.
   struct Message
   {
-    LoadWordPart part_ = LoadWordPart::kChange;
+    LoadMessageKind kind_ = LoadMessageKind::kDelta;
     std::vector<EndpointShare> shares_;
   };
 
-  explicit ZoneSummer(Options aOptions)
+  explicit ZoneLoadAggregator(Options aOptions)
     : options_(aOptions)
   {
   }
 
   /// Returns the next message to send, if any.
   /// @param aTotals the zone's current load by endpoint
-  std::optional<Message> Next(const std::vector<EndpointShare>& aTotals,
-                              TimePoint aNow);
+  std::optional<Message> NextMessage(const std::vector<EndpointShare>& aTotals,
+                                     TimePoint aNow);
 
   /// Forgets what was sent, so that the next message is a snapshot.
-  void Restart() { *this = ZoneSummer(options_); }
+  void Restart() { *this = ZoneLoadAggregator(options_); }
 
 private:
   // The latest share of an endpoint that was sent or is about to be.
@@ -91,7 +91,7 @@
 // Decides whether this host is its zone's aggregator: the first host of the
 // zone by rank, or the next one if the first has fallen silent. Not
 // thread-safe.
-class ZoneTurn
+class ZoneAggregatorRole
 {
 public:
   struct Options
@@ -104,17 +104,17 @@
     std::size_t candidates_ = 3;
   };
 
-  explicit ZoneTurn(Options aOptions)
+  explicit ZoneAggregatorRole(Options aOptions)
     : options_(aOptions)
   {
   }
 
   /// Records a message of this zone's current aggregator.
-  void OnHeard(TimePoint aNow) { lastHeard_ = aNow; }
+  void OnAggregateReceived(TimePoint aNow) { lastHeard_ = aNow; }
 
   /// Returns whether this host is to aggregate its zone.
   /// @param aRank among the live hosts of the zone
-  bool IsOwn(TimePoint aNow, std::size_t aRank) const;
+  bool IsAggregator(TimePoint aNow, std::size_t aRank) const;
 
 private:
   Options options_;
@@ -124,7 +124,7 @@
 // Accepts the messages of only one aggregator per zone. Two hosts may both
 // consider themselves the aggregator, and counting both would double the load
 // of the zone. Not thread-safe.
-class ZoneSources
+class ZoneMessageFilter
 {
 public:
   struct Options
@@ -133,14 +133,14 @@
     std::chrono::milliseconds silenceTimeout_{ 600 };
   };
 
-  explicit ZoneSources(Options aOptions)
+  explicit ZoneMessageFilter(Options aOptions)
     : options_(aOptions)
   {
   }
 
   /// Returns whether to apply a message. Only a snapshot can make its sender
   /// the zone's accepted aggregator.
-  bool Accepts(const LoadWord& aMessage, TimePoint aNow);
+  bool Accepts(const LoadMessage& aMessage, TimePoint aNow);
 
 private:
   struct Aggregator
@@ -155,4 +155,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_SUMS_H_
+#endif // GOOSEBERRYLIFT_MEMBERSHIP_GOOSEBERRYLIFT_ZONE_LOAD_H_
--- a/include/gooseberrylift/routing/gooseberrylift-endpoint-directory.h
+++ b/include/gooseberrylift/routing/gooseberrylift-endpoint-directory.h
@@ -22,16 +22,19 @@
 struct ListedEndpoint
 {
   std::string id_;
-  BirthTime born_{}; // the epoch if the platform gives no start time
+  StartTime startTime_{}; // the epoch if the platform gives no start time
   std::string service_;
   std::string address_; // IP:port
   std::string zone_;
   int slots_ = 1;
   bool leaving_ = false;
   // Remaining time of slower service after a start.
-  std::chrono::milliseconds coldFor_{ 0 };
+  std::chrono::milliseconds warmUpRemaining_{ 0 };
 
-  Incarnation Life() const { return { .id_ = id_, .born_ = born_ }; }
+  Incarnation IncarnationId() const
+  {
+    return { .id_ = id_, .startTime_ = startTime_ };
+  }
 };
 
 // Tracks listed endpoints by the following rules.
@@ -114,8 +117,8 @@
   std::map<std::string, Entry> entries_;
   // Start times by id: of the newest incarnation ever listed, and of the newest
   // one that is leaving or gone. Never erased; each takes a few bytes.
-  std::map<std::string, BirthTime> newestStart_;
-  std::map<std::string, BirthTime> leaving_;
+  std::map<std::string, StartTime> newestStart_;
+  std::map<std::string, StartTime> leaving_;
   std::set<std::string> evacuatedZones_; // availability zones
   TimePoint relistDeadline_{};
   std::uint64_t changes_ = 0;
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
@@ -24,9 +24,9 @@
 // Load that one request adds to an endpoint.
 struct RequestCost
 {
-  std::uint64_t memoryTokens_ = 0;      // KV cache for prompt and answer
-  std::chrono::microseconds read_{ 0 }; // prefill time
-  bool tight_ = false;    // has the service's shortest inter-event gap limit
+  std::uint64_t memoryTokens_ = 0;         // KV cache for prompt and answer
+  std::chrono::microseconds prefill_{ 0 }; // prefill time
+  bool tightGap_ = false; // has the service's shortest inter-event gap limit
   bool isHelper_ = false; // prefills and stores a part only; occupies no slot
   bool deferred_ = false; // yields to all other requests at its engine
 };
@@ -35,8 +35,8 @@
 struct EndpointShare
 {
   std::string id_;
-  int running_ = 0; // requests that occupy or wait for a slot
-  int tight_ = 0;   // of these, with the shortest gap limit
+  int running_ = 0;  // requests that occupy or wait for a slot
+  int tightGap_ = 0; // of these, with the shortest gap limit
   std::uint64_t memoryTokens_ = 0;
   std::chrono::microseconds backlog_{ 0 }; // outstanding prefill
   int deferred_ = 0; // of running_, queued behind all others
@@ -48,7 +48,7 @@
 struct EndpointLoad
 {
   int running_ = 0;
-  int tight_ = 0;
+  int tightGap_ = 0;
   std::uint64_t memoryTokens_ = 0;
   std::chrono::microseconds backlog_{ 0 };
   int deferred_ = 0; // of running_, queued behind all others
@@ -89,23 +89,23 @@
   void OnEnded(const std::string& aEndpoint, std::uint64_t aRequest);
 
   /// Discards the load of an endpoint that has restarted and lost its requests.
-  void OnReborn(const std::string& aEndpoint);
+  void OnRestarted(const std::string& aEndpoint);
 
   /// Replaces the load of a peer by a snapshot.
   /// @param aAt time of the message, on this host's clock
-  void OnPeer(const std::string& aHost,
-              std::vector<EndpointShare> aShares,
-              TimePoint aAt);
+  void OnPeerSnapshot(const std::string& aHost,
+                      std::vector<EndpointShare> aShares,
+                      TimePoint aAt);
 
   /// Adds a further part of the peer's latest snapshot.
-  void OnMoreOfPeer(const std::string& aHost,
-                    std::vector<EndpointShare> aShares);
+  void OnPeerSnapshotContinued(const std::string& aHost,
+                               std::vector<EndpointShare> aShares);
 
   /// Applies a delta: the endpoints whose load has changed.
   /// @param aAt time of the message, on this host's clock
-  void OnChangeOfPeer(const std::string& aHost,
-                      std::vector<EndpointShare> aShares,
-                      TimePoint aAt);
+  void OnPeerDelta(const std::string& aHost,
+                   std::vector<EndpointShare> aShares,
+                   TimePoint aAt);
 
   /// Returns the known load of an endpoint.
   EndpointLoad Of(const std::string& aEndpoint, TimePoint aNow) const;
@@ -133,7 +133,7 @@
 
   /// Returns the shortest time without data from an endpoint that any peer with
   /// requests there reports; nothing if no peer has requests there.
-  std::optional<std::chrono::milliseconds> SilentToPeersFor(
+  std::optional<std::chrono::milliseconds> ShortestPeerSilence(
     const std::string& aEndpoint,
     TimePoint aNow) const;
 
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-order.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-order.h
@@ -32,8 +32,9 @@
 
 /// Returns endpoints in a pseudo-random order.
 /// @param aRandom seed of the order
-std::vector<ListedEndpoint> OrderByDraw(std::vector<ListedEndpoint> aEndpoints,
-                                        std::uint64_t aRandom);
+std::vector<ListedEndpoint> ShuffleEndpoints(
+  std::vector<ListedEndpoint> aEndpoints,
+  std::uint64_t aRandom);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
-#include "gooseberrylift/routing/gooseberrylift-engine-figures.h"
+#include "gooseberrylift/routing/gooseberrylift-engine-profile.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-load.h"
 #include "gooseberrylift/routing/gooseberrylift-route-table.h"
 
@@ -22,9 +22,9 @@
 {
   const ListedEndpoint* endpoint_ = nullptr;
   EndpointLoad load_;
-  bool setAside_ = false; // failing or silent: used only as a last resort
-  bool tried_ = false;    // has failed an attempt of this request
-  bool limited_ = false;  // has a request rate limit shared by all hosts
+  bool avoided_ = false; // failing or silent: used only as a last resort
+  bool tried_ = false;   // has failed an attempt of this request
+  bool limited_ = false; // has a request rate limit shared by all hosts
 };
 
 // Properties of a request that determine its placement.
@@ -34,9 +34,9 @@
   std::uint64_t answerTokens_ = 0; // upper bound
   std::chrono::milliseconds objective_{ 1'000 };
   std::chrono::milliseconds maxGap_{ 0 };
-  std::string zone_;       // zone of this host
-  bool blind_ = false;     // the load of other hosts is unknown
-  std::uint64_t draw_ = 0; // a random number
+  std::string zone_;             // zone of this host
+  bool peerLoadUnknown_ = false; // the load of other hosts is unknown
+  std::uint64_t draw_ = 0;       // a random number
 };
 
 // The chosen endpoints of a request, with predictions and costs.
@@ -46,7 +46,7 @@
   std::vector<const ListedEndpoint*> helpers_; // prefill parts of the prompt
   // KV cache that each helper reserves for its part of the prompt, in tokens; 0
   // if the whole prompt is stored at the endpoint.
-  std::uint64_t heldTokens_ = 0;
+  std::uint64_t reservedTokens_ = 0;
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted, from now
   bool long_ = false; // its prefill delays requests that decode beside it
   // Predicted to miss its objective at every engine; it yields to requests that
@@ -79,65 +79,65 @@
     // service's shortest gap limit; long prompts are kept away from requests
     // with that limit. The rest of the gap is for the steps of the pass and for
     // a second short prefill.
-    double longRead_ = 0.6;
+    double longPrefillShare_ = 0.6;
     // Share of an engine's slots that short requests fill before they take the
     // next engine. A step with a batch of ten takes 1.2 times as long as one
     // with a batch of two, so filling costs little. The other slots are for
     // requests of other hosts whose load messages are still on their way.
-    double comfortable_ = 0.9;
+    double targetOccupancy_ = 0.9;
     // A prefill is spread over more engines until it is predicted to take this
     // share of the objective: in effect over as many as shorten it.
-    double readShare_ = 0.05;
+    double prefillTargetShare_ = 0.05;
     // Maximum number of engines that prefill one prompt together: as many
     // helpers as an engine accepts.
-    int mostEngines_ = 16;
+    int maxEngines_ = 16;
     // Share of an engine's KV cache that a prompt may count on. The rest is for
     // answers of other hosts' requests that are not known yet.
     double usableMemoryShare_ = 0.9;
     // Penalty for making a request with the shortest gap limit late, as
     // equivalent time to the first answer of the request to be placed.
-    std::chrono::milliseconds harm_{ 160 };
+    std::chrono::milliseconds tightGapPenalty_{ 160 };
     // The same for a request with a longer gap limit. There are fewer of these,
     // and each is worth as much as the request to be placed.
-    std::chrono::milliseconds harmOther_{ 1'000 };
+    std::chrono::milliseconds otherGapPenalty_{ 1'000 };
     // Penalty for a long request that misses its objective, in the same unit.
-    // It counts as missed from usefulShare_ of the objective on.
-    std::chrono::milliseconds missed_{ 4'000 };
-    double usefulShare_ = 0.8;
+    // It counts as missed from missThresholdShare_ of the objective on.
+    std::chrono::milliseconds missedObjectivePenalty_{ 4'000 };
+    double missThresholdShare_ = 0.8;
     // Share of a short request's objective that it may wait before its prefill
     // and still take the first engine in order.
-    double waitShare_ = 0.3;
+    double acceptableWaitShare_ = 0.3;
     // Share of a short request's objective by which the predicted first answer
     // of an engine may be later than that of the best one and still count as a
     // tie, broken at random. Hosts that receive load messages with a delay all
     // see the same best engine; without the random choice, hundreds of them
     // would select it together.
-    double alikeShare_ = 0.2;
+    double tieMarginShare_ = 0.2;
     // Share of a short request's objective up to which a predicted first answer
     // counts as in time. The rest is a margin for prediction errors.
     double inTimeShare_ = 0.9;
     // Share of a long prompt's delay penalty that counts as wait, so that the
     // prompt is held back while the engines are full of short requests. The
     // whole penalty would hold back prompts that lengthen only a gap or two.
-    double heldHarm_ = 0.15;
+    double waitPenaltyShare_ = 0.15;
     // Number of requests that the short lane has room for beyond its current
     // load. None by default, because hosts receive each other's load within
     // about 20 ms.
-    double laneSpare_ = 0;
+    double laneHeadroom_ = 0;
     // Share of the engines that forms the short lane while the load of other
     // hosts is unknown; short requests are spread evenly over it. The rest is
     // for long prompts, which also return all at once after a power failure.
     double unknownLoadLaneShare_ = 0.5;
     // Share of the engines that the short lane never takes.
-    double keptForLong_ = 0.1;
+    double reservedForLongShare_ = 0.1;
     // Share of the spare engines that is added to the short lane, so that hosts
     // with delayed load data do not all choose the same few engines while most
     // are idle.
-    double spareForShort_ = 0.5;
+    double spareForShortShare_ = 0.5;
     // Engines count as spare beyond this multiple of what both lanes need now,
     // with at least one long prompt counted. The margin covers load swings and
     // load data from other hosts that is some hundred milliseconds old.
-    double spareBeyond_ = 4;
+    double spareThresholdFactor_ = 4;
   };
 
   explicit EnginePlacement(Options aOptions)
@@ -151,14 +151,14 @@
   /// @param aCandidates usable engines, in the order that all hosts share
   /// @return the choice; nothing if no engine can run the request
   std::optional<PlacementChoice> Choose(
-    const EngineFigures& aProfile,
+    const EngineProfile& aProfile,
     const ServiceGaps& aGaps,
     const std::vector<PlacementCandidate>& aCandidates,
     const PlacementRequest& aRequest) const;
 
   /// Predicts the time until an engine starts a new request.
   /// @param aQueuedAhead number of requests there that precede it
-  static std::chrono::microseconds PredictWait(const EngineFigures& aProfile,
+  static std::chrono::microseconds PredictWait(const EngineProfile& aProfile,
                                                const EndpointLoad& aLoad,
                                                int aQueuedAhead);
 
--- a/include/gooseberrylift/routing/gooseberrylift-endpoint-trust.h
+++ b/include/gooseberrylift/routing/gooseberrylift-outlier-detector.h
@@ -3,8 +3,8 @@
 // endpoint ends its requests early and looks idle, so that load balancing would
 // send it more than its share.
 
-#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_TRUST_H_
-#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_TRUST_H_
+#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_OUTLIER_DETECTOR_H_
+#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_OUTLIER_DETECTOR_H_
 
 #include <chrono>
 #include <map>
@@ -26,7 +26,7 @@
 // Keeps an exponentially decayed failure share for each endpoint, and ejects an
 // endpoint for a limited time when it is unreachable or fails far more often
 // than the others. Not thread-safe.
-class EndpointTrust
+class OutlierDetector
 {
 public:
   struct Options
@@ -45,7 +45,7 @@
     std::chrono::milliseconds failureEjection_{ 3'000 };
   };
 
-  explicit EndpointTrust(Options aOptions)
+  explicit OutlierDetector(Options aOptions)
     : options_(aOptions)
   {
   }
@@ -56,10 +56,10 @@
                  TimePoint aNow);
 
   /// Returns whether an endpoint is ejected.
-  bool IsSetAside(const std::string& aEndpoint, TimePoint aNow) const;
+  bool IsEjected(const std::string& aEndpoint, TimePoint aNow) const;
 
   /// Discards the record of an endpoint that has restarted.
-  void OnReborn(const std::string& aEndpoint) { records_.erase(aEndpoint); }
+  void OnRestarted(const std::string& aEndpoint) { records_.erase(aEndpoint); }
 
   /// Discards the records of endpoints that had no request for a minute.
   void Sweep(TimePoint aNow);
@@ -80,4 +80,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_ENDPOINT_TRUST_H_
+#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_OUTLIER_DETECTOR_H_
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-view.h
+++ b/include/gooseberrylift/routing/gooseberrylift-peer-visibility.h
@@ -3,8 +3,8 @@
 // hosts have discovered each other. If each assumed that it is the only one,
 // all of them would fill the same few engines.
 
-#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_VIEW_H_
-#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_VIEW_H_
+#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PEER_VISIBILITY_H_
+#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PEER_VISIBILITY_H_
 
 #include <chrono>
 #include <cstddef>
@@ -14,7 +14,7 @@
 namespace gooseberrylift {
 
 // Not thread-safe.
-class FleetView
+class PeerVisibility
 {
 public:
   struct Options
@@ -28,7 +28,7 @@
     std::chrono::milliseconds peerTimeout_{ 2'000 };
   };
 
-  FleetView(Options aOptions, TimePoint aStarted)
+  PeerVisibility(Options aOptions, TimePoint aStarted)
     : options_(aOptions)
     , started_(aStarted)
   {
@@ -38,10 +38,10 @@
   void OnPeersKnown(std::size_t aPeers) { peerCount_ = aPeers; }
 
   /// Records the arrival of a peer's load message.
-  void OnWord(TimePoint aNow) { lastMessage_ = aNow; }
+  void OnLoadMessage(TimePoint aNow) { lastMessage_ = aNow; }
 
   /// Returns whether peers exist or may exist whose load is unknown.
-  bool IsBlind(TimePoint aNow) const;
+  bool IsPeerLoadUnknown(TimePoint aNow) const;
 
 private:
   Options options_;
@@ -52,4 +52,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_FLEET_VIEW_H_
+#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PEER_VISIBILITY_H_
--- a/include/gooseberrylift/routing/gooseberrylift-urgency.h
+++ b/include/gooseberrylift/routing/gooseberrylift-priority-class.h
@@ -4,16 +4,16 @@
 // late although most could be served in time. Requests that are already late
 // therefore yield to the others.
 
-#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_URGENCY_H_
-#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_URGENCY_H_
+#ifndef GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PRIORITY_CLASS_H_
+#define GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PRIORITY_CLASS_H_
 
 namespace gooseberrylift {
 
 /// Returns the priority class of a request, from 0 (first) to 9.
 /// @param aPriority priority of the team or the route; 0 is the most urgent
 /// @param aDeferred whether the request is late at every engine
-int UrgencyOf(int aPriority, bool aDeferred);
+int PriorityClassOf(int aPriority, bool aDeferred);
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_URGENCY_H_
+#endif // GOOSEBERRYLIFT_ROUTING_GOOSEBERRYLIFT_PRIORITY_CLASS_H_
--- a/include/gooseberrylift/routing/gooseberrylift-route-table.h
+++ b/include/gooseberrylift/routing/gooseberrylift-route-table.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "gooseberrylift/routing/gooseberrylift-engine-figures.h"
+#include "gooseberrylift/routing/gooseberrylift-engine-profile.h"
 
 namespace gooseberrylift {
 
@@ -64,7 +64,7 @@
   std::string name_;
   std::string healthPath_;
   int maxConnections_ = 0; // per endpoint, over all callers; 0: not declared
-  std::optional<EngineFigures> engine_; // none for a plain service
+  std::optional<EngineProfile> engine_; // none for a plain service
 };
 
 // Limits on the size and duration of what a caller sends.
--- a/include/gooseberrylift/streams/gooseberrylift-event-splitter.h
+++ b/include/gooseberrylift/streams/gooseberrylift-event-splitter.h
@@ -50,8 +50,8 @@
   enum class Verdict
   {
     kPass,
-    kRepeated, // already forwarded: drop it
-    kBroken    // an earlier event is missing: abort the stream
+    kDuplicate, // already forwarded: drop it
+    kGap        // an earlier event is missing: abort the stream
   };
 
   /// Starts after the last event that the caller has received.
--- a/src/cli/gooseberrylift-report.cc
+++ b/src/cli/gooseberrylift-report.cc
@@ -23,7 +23,7 @@
                             ? ParseBurnDocument(answer.response_.value().body_)
                             : std::nullopt;
     if (document) {
-      MergeDocument(merged, *document);
+      MergeBurnDocument(merged, *document);
     } else {
       silent.push_back(answer.address_);
     }
--- a/src/clients/gooseberrylift-headline-words.cc
+++ b/src/clients/gooseberrylift-headline-words.cc
@@ -36,12 +36,12 @@
   for (const PeerMember& peer : peers) {
     addresses.push_back(peer.address_);
   }
-  const HeadlineWord question{ .host_ = options_.host_,
-                               .question_ = random_(),
-                               .headline_ = parts_.own_() };
-  asked_[question.question_] = TimerService::BootNow();
+  const StoreStatusMessage question{ .host_ = options_.host_,
+                                     .requestId_ = random_(),
+                                     .storeStatus_ = parts_.own_() };
+  asked_[question.requestId_] = TimerService::BootNow();
   parts_.datagrams_.Send(PeerTopic::kStore,
-                         EncodeHeadlineWord(question),
+                         EncodeStoreStatusMessage(question),
                          PeerAddressesOf(addresses));
 }
 
@@ -55,32 +55,32 @@
 
 void HeadlineWords::TakeIn(std::string_view aBytes, const PeerAddress& aFrom)
 {
-  const auto word = DecodeHeadlineWord(aBytes);
+  const auto word = DecodeStoreStatusMessage(aBytes);
   if (!word) {
     return;
   }
   const PeerMember peer{ .host_ = word->host_, .address_ = TextOf(aFrom) };
-  if (word->isAnswer_) {
+  if (word->isResponse_) {
     TakeInAnswer(*word, peer);
     return;
   }
   // The headline is of this moment: the age in it is counted from the question
   // on, and would look too low if it had been taken before.
-  const HeadlineWord answer{ .host_ = options_.host_,
-                             .question_ = word->question_,
-                             .isAnswer_ = true,
-                             .headline_ = parts_.own_() };
+  const StoreStatusMessage answer{ .host_ = options_.host_,
+                                   .requestId_ = word->requestId_,
+                                   .isResponse_ = true,
+                                   .storeStatus_ = parts_.own_() };
   parts_.datagrams_.Send(
-    PeerTopic::kStore, EncodeHeadlineWord(answer), { aFrom });
-  parts_.take_(peer, word->headline_, std::nullopt);
+    PeerTopic::kStore, EncodeStoreStatusMessage(answer), { aFrom });
+  parts_.take_(peer, word->storeStatus_, std::nullopt);
 }
 
-void HeadlineWords::TakeInAnswer(const HeadlineWord& aWord,
+void HeadlineWords::TakeInAnswer(const StoreStatusMessage& aWord,
                                  const PeerMember& aPeer)
 {
-  const auto asked = asked_.find(aWord.question_);
+  const auto asked = asked_.find(aWord.requestId_);
   if (asked != asked_.end()) {
-    parts_.take_(aPeer, aWord.headline_, asked->second);
+    parts_.take_(aPeer, aWord.storeStatus_, asked->second);
   }
 }
 
--- a/src/clients/gooseberrylift-load-words.cc
+++ b/src/clients/gooseberrylift-load-words.cc
@@ -20,9 +20,9 @@
 constexpr milliseconds kRepeatCheck{ 100 };
 
 // Says whether a host has just placed a long prompt.
-bool HasLongRead(const LoadWord& aWord)
+bool HasLongRead(const LoadMessage& aWord)
 {
-  return aWord.part_ == LoadWordPart::kChange &&
+  return aWord.kind_ == LoadMessageKind::kDelta &&
          std::any_of(aWord.shares_.begin(),
                      aWord.shares_.end(),
                      [](const EndpointShare& aShare) {
@@ -69,14 +69,14 @@
   }
   const TimePoint now = TimerService::Now();
   const std::size_t peers = near_.size();
-  if (!aUrgent && !pace_.MayTell(now, peers)) {
+  if (!aUrgent && !pace_.MaySendDelta(now, peers)) {
     SendWholeSoon(); // it goes with that
     return;
   }
-  pace_.OnTold(now, peers);
+  pace_.OnDeltaSent(now, peers);
   Send({ .host_ = options_.host_,
          .sequence_ = ++sequence_,
-         .part_ = LoadWordPart::kChange,
+         .kind_ = LoadMessageKind::kDelta,
          .shares_ = parts_.ownAt_(aEndpoints) },
        near_);
   told_ = true;
@@ -91,7 +91,8 @@
     return;
   }
   armed_ = true;
-  const TimePoint due = pace_.DueAt(TimerService::Now(), near_.size());
+  const TimePoint due =
+    pace_.NextSnapshotTime(TimerService::Now(), near_.size());
   SpawnTask(parts_.executor_, SendAt(due));
 }
 
@@ -104,7 +105,7 @@
 
 void LoadWords::Repeat()
 {
-  if (told_ && pace_.MustRepeat(TimerService::Now(), near_.size())) {
+  if (told_ && pace_.IsRepeatDue(TimerService::Now(), near_.size())) {
     SendWhole();
   }
 }
@@ -114,22 +115,23 @@
   if (!parts_.datagrams_.IsOpen()) {
     return;
   }
-  const LoadWord word{ .host_ = options_.host_,
-                       .sequence_ = ++sequence_,
-                       .shares_ = parts_.own_() };
+  const LoadMessage word{ .host_ = options_.host_,
+                          .sequence_ = ++sequence_,
+                          .shares_ = parts_.own_() };
   Send(word, near_);
   told_ = !word.shares_.empty();
-  pace_.OnSent(TimerService::Now());
+  pace_.OnSnapshotSent(TimerService::Now());
 }
 
-void LoadWords::Send(const LoadWord& aWord, const std::vector<PeerAddress>& aTo)
+void LoadWords::Send(const LoadMessage& aWord,
+                     const std::vector<PeerAddress>& aTo)
 {
-  for (const std::string& datagram : EncodeLoadWord(aWord)) {
+  for (const std::string& datagram : EncodeLoadMessage(aWord)) {
     parts_.datagrams_.Send(PeerTopic::kLoad, datagram, aTo);
   }
 }
 
-void LoadWords::SetPeers(const WordPeers& aPeers)
+void LoadWords::SetPeers(const LoadMessagePeers& aPeers)
 {
   near_ = PeerAddressesOf(aPeers.near_);
   successors_ = PeerAddressesOf(aPeers.successors_);
@@ -151,11 +153,11 @@
 void LoadWords::TellZone()
 {
   const TimePoint now = TimerService::Now();
-  const bool sums =
-    parts_.datagrams_.IsOpen() && !far_.empty() && turn_.IsOwn(now, rank_);
+  const bool sums = parts_.datagrams_.IsOpen() && !far_.empty() &&
+                    turn_.IsAggregator(now, rank_);
   if (sums != sums_) {
     sums_ = sums;
-    summer_.Restart();
+    zoneAggregator_.Restart();
     Log(LogEvent::kZoneSummed,
         { { "sums", sums }, { "zone", options_.zone_ }, { "rank", rank_ } });
   }
@@ -163,12 +165,12 @@
     return;
   }
   summed_ = now;
-  const auto word = summer_.Next(parts_.zoneSums_(), now);
+  const auto word = zoneAggregator_.NextMessage(parts_.zoneSums_(), now);
   if (!word) {
     return;
   }
-  if (word->part_ == LoadWordPart::kFirst) {
-    SendToZones(word->part_, word->shares_);
+  if (word->kind_ == LoadMessageKind::kSnapshot) {
+    SendToZones(word->kind_, word->shares_);
     return;
   }
   // A change is told or lost by itself, so each datagram is a word of its own.
@@ -177,7 +179,7 @@
     const auto left = static_cast<std::size_t>(word->shares_.end() - begin);
     const auto end =
       begin + static_cast<std::ptrdiff_t>(std::min(left, kSharesPerDatagram));
-    SendToZones(word->part_, { begin, end });
+    SendToZones(word->kind_, { begin, end });
     begin = end;
   } while (begin != word->shares_.end());
 }
@@ -189,37 +191,37 @@
   }
 }
 
-void LoadWords::SendToZones(LoadWordPart aPart,
+void LoadWords::SendToZones(LoadMessageKind aPart,
                             std::vector<EndpointShare> aShares)
 {
-  LoadWord word{ .host_ = options_.host_,
-                 .sequence_ = ++sequence_,
-                 .part_ = aPart,
-                 .shares_ = std::move(aShares),
-                 .zone_ = options_.zone_ };
+  LoadMessage word{ .host_ = options_.host_,
+                    .sequence_ = ++sequence_,
+                    .kind_ = aPart,
+                    .shares_ = std::move(aShares),
+                    .zone_ = options_.zone_ };
   Send(word, successors_);
-  word.passOn_ = true;
+  word.relayToZone_ = true;
   for (const auto& [zone, hosts] : far_) {
     Send(word, { hosts[random_() % hosts.size()] });
   }
 }
 
-void LoadWords::PassOn(LoadWord aWord)
+void LoadWords::PassOn(LoadMessage aWord)
 {
-  aWord.passOn_ = false;
+  aWord.relayToZone_ = false;
   Send(aWord, near_);
 }
 
 void LoadWords::TakeIn(std::string_view aBytes)
 {
-  const auto word = DecodeLoadWord(aBytes);
+  const auto word = DecodeLoadMessage(aBytes);
   if (!word) {
     return;
   }
   parts_.take_(*word);
   if (word->zone_ == options_.zone_) {
-    turn_.OnHeard(TimerService::Now());
-  } else if (word->passOn_) {
+    turn_.OnAggregateReceived(TimerService::Now());
+  } else if (word->relayToZone_) {
     PassOn(*word);
   } else if (sums_ && HasLongRead(*word)) {
     TellZoneSoon(); // others would take the same idle endpoints
--- a/src/core/gooseberrylift-admission.cc
+++ b/src/core/gooseberrylift-admission-controller.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/gooseberrylift-admission.h"
+#include "gooseberrylift/gooseberrylift-admission-controller.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/gooseberrylift-attempts.cc
+++ b/src/core/gooseberrylift-attempt-errors.cc
@@ -1,15 +1,15 @@
-#include "gooseberrylift/gooseberrylift-attempts.h"
+#include "gooseberrylift/gooseberrylift-attempt-errors.h"
 
 namespace gooseberrylift {
 
-void Attempts::OnRefused(const Error& aRefusal)
+void AttemptErrors::OnRefused(const Error& aRefusal)
 {
   if (!anyFailed_ || aRefusal.code_ != ResultCode::kNoEndpoint) {
     last_ = aRefusal;
   }
 }
 
-void Attempts::OnFailed(const Error& aError)
+void AttemptErrors::OnFailed(const Error& aError)
 {
   anyFailed_ = true;
   last_ = aError;
@@ -18,7 +18,7 @@
   }
 }
 
-Error Attempts::Final() const
+Error AttemptErrors::FinalError() const
 {
   Error error = last_;
   if (error.ran_ == RanState::kNo) {
--- a/src/core/gooseberrylift-burn-document.cc
+++ b/src/core/gooseberrylift-burn-document.cc
@@ -135,7 +135,7 @@
   const FirstTokenHistogram& aHistogram)
 {
   std::vector<std::pair<std::string, std::size_t>> series;
-  for (const auto& bin : aHistogram.Filled()) {
+  for (const auto& bin : aHistogram.NonEmptyBins()) {
     series.emplace_back(bin.service_, bin.band_);
   }
   series.erase(std::unique(series.begin(), series.end()), series.end());
@@ -162,7 +162,7 @@
 
 } // namespace
 
-std::string BurnDocumentText(const BurnDocument& aDocument)
+std::string SerializeBurnDocument(const BurnDocument& aDocument)
 {
   json series = json::array();
   for (const auto& [key, counts] : aDocument.tally_) {
@@ -173,7 +173,7 @@
                        { "counts", CountsJson(counts) } });
   }
   json bins = json::array();
-  for (const auto& bin : aDocument.firstTokens_.Filled()) {
+  for (const auto& bin : aDocument.firstTokens_.NonEmptyBins()) {
     bins.push_back({ bin.service_, bin.band_, bin.bin_, bin.count_ });
   }
   const json document = {
@@ -219,7 +219,7 @@
   }
 }
 
-void MergeDocument(BurnDocument& aInto, const BurnDocument& aFrom)
+void MergeBurnDocument(BurnDocument& aInto, const BurnDocument& aFrom)
 {
   aInto.hosts_.insert(
     aInto.hosts_.end(), aFrom.hosts_.begin(), aFrom.hosts_.end());
--- a/src/core/gooseberrylift-burn.cc
+++ b/src/core/gooseberrylift-burn.cc
@@ -161,7 +161,7 @@
 }
 
 // The two ring buffers of one pair of team and service.
-class BurnLedger::SeriesCounts
+class BurnCounters::SeriesCounts
 {
 public:
   void Add(std::size_t aBand,
@@ -201,19 +201,19 @@
   SlotRing tenMinuteRing_{ 36, minutes(10) };
 };
 
-BurnLedger::BurnLedger(Options aOptions)
+BurnCounters::BurnCounters(Options aOptions)
   : options_(aOptions)
 {
 }
 
-BurnLedger::~BurnLedger() = default;
+BurnCounters::~BurnCounters() = default;
 
-void BurnLedger::Record(const BurnSample& aSample,
-                        const ServiceObjective& aObjective,
-                        TimePoint aNow)
+void BurnCounters::Record(const BurnSample& aSample,
+                          const ServiceObjective& aObjective,
+                          TimePoint aNow)
 {
   SeriesCounts& series = FindOrCreate(aSample, aNow);
-  const std::size_t band = BandOf(aSample.promptTokens_);
+  const std::size_t band = PromptBandIndex(aSample.promptTokens_);
   if (const auto& bound = aObjective.firstToken_.at(band)) {
     const bool met = aSample.firstToken_ && *aSample.firstToken_ <= *bound;
     series.Add(band, BurnObjective::kFirstToken, met, aNow);
@@ -221,8 +221,9 @@
   series.Add(band, BurnObjective::kSuccess, aSample.succeeded_, aNow);
 }
 
-BurnLedger::SeriesCounts& BurnLedger::FindOrCreate(const BurnSample& aSample,
-                                                   TimePoint aNow)
+BurnCounters::SeriesCounts& BurnCounters::FindOrCreate(
+  const BurnSample& aSample,
+  TimePoint aNow)
 {
   SeriesKey key(aSample.team_, aSample.service_);
   if (!series_.contains(key) && series_.size() >= options_.maxSeries_) {
@@ -238,14 +239,14 @@
   return *series;
 }
 
-void BurnLedger::EvictIdle(TimePoint aNow)
+void BurnCounters::EvictIdle(TimePoint aNow)
 {
   std::erase_if(series_, [aNow](const auto& aEntry) {
     return aEntry.second->IsIdle(aNow);
   });
 }
 
-BurnTally BurnLedger::Tally(TimePoint aNow) const
+BurnTally BurnCounters::Tally(TimePoint aNow) const
 {
   BurnTally tally;
   for (const auto& [key, series] : series_) {
--- a/src/core/gooseberrylift-config-change.cc
+++ b/src/core/gooseberrylift-config-change.cc
@@ -118,22 +118,22 @@
                                             const ConfigProposal& aProposal)
 {
   const std::uint64_t newest =
-    std::max(aStored.generation_, aProposal.highestKnown_);
+    std::max(aStored.generation_, aProposal.highestInForce_);
   if (aProposal.base_ != newest) {
     return std::nullopt;
   }
   return newest + 1;
 }
 
-StoredConfiguration WithChange(const StoredConfiguration& aStored,
-                               json aConfiguration,
-                               ConfigChange aChange)
+StoredConfiguration AppendChange(const StoredConfiguration& aStored,
+                                 json aConfiguration,
+                                 ConfigChange aChange)
 {
   StoredConfiguration next = aStored;
   next.generation_ = aChange.generation_;
   next.configuration_ = std::move(aConfiguration);
   next.recent_.push_back(std::move(aChange));
-  if (next.recent_.size() > StoredConfiguration::kRecent) {
+  if (next.recent_.size() > StoredConfiguration::kMaxRecentChanges) {
     next.recent_.erase(next.recent_.begin());
   }
   return next;
--- a/src/core/gooseberrylift-digest-codec.cc
+++ b/src/core/gooseberrylift-digest-codec.cc
@@ -66,7 +66,7 @@
 {
   const std::chrono::milliseconds born(aItem.at(1).get<std::int64_t>());
   EndpointRate rate{ .endpoint_ = { .id_ = aItem.at(0),
-                                    .born_ = BirthTime(born) },
+                                    .startTime_ = StartTime(born) },
                      .version_ = aItem.at(2) };
   if (aItem.size() > 3) {
     rate.perSecond_ = aItem.at(3).get<double>();
@@ -119,7 +119,7 @@
   json list = json::array();
   for (const EndpointRate& rate : aRates) {
     json item = { rate.endpoint_.id_,
-                  rate.endpoint_.born_.time_since_epoch().count(),
+                  rate.endpoint_.startTime_.time_since_epoch().count(),
                   rate.version_ };
     if (rate.perSecond_) {
       item.push_back(*rate.perSecond_);
--- a/src/core/gooseberrylift-endpoint-book.cc
+++ b/src/core/gooseberrylift-endpoint-registry.cc
@@ -1,16 +1,16 @@
-#include "gooseberrylift/gooseberrylift-endpoint-book.h"
+#include "gooseberrylift/gooseberrylift-endpoint-registry.h"
 
 #include <algorithm>
 
 namespace gooseberrylift {
 
-EndpointBook::EndpointBook(Options aOptions)
+EndpointRegistry::EndpointRegistry(Options aOptions)
   : options_(aOptions)
 {
 }
 
-bool EndpointBook::OnList(const std::vector<EndpointView>& aListed,
-                          TimePoint aNow)
+bool EndpointRegistry::OnList(const std::vector<EndpointView>& aListed,
+                              TimePoint aNow)
 {
   bool changed = false;
   for (const EndpointView& listed : aListed) {
@@ -34,7 +34,7 @@
 // that endpoints missing by truncation still answer. An endpoint is therefore
 // removed when it is both unlisted and silent, or when successive lists have
 // not contained it for unlistedRetention_.
-std::size_t EndpointBook::DropUnlisted(TimePoint aNow)
+std::size_t EndpointRegistry::DropUnlisted(TimePoint aNow)
 {
   TimePoint latestList{};
   for (const auto& [name, entry] : entries_) {
@@ -49,9 +49,9 @@
   });
 }
 
-bool EndpointBook::OnReport(const std::string& aName,
-                            const EndpointReport& aReport,
-                            TimePoint /*aNow*/)
+bool EndpointRegistry::OnReport(const std::string& aName,
+                                const EndpointReport& aReport,
+                                TimePoint /*aNow*/)
 {
   const auto found = entries_.find(aName);
   if (found == entries_.end()) {
@@ -70,7 +70,7 @@
   return UpdateState(entry);
 }
 
-bool EndpointBook::OnFailure(const std::string& aName, TimePoint /*aNow*/)
+bool EndpointRegistry::OnFailure(const std::string& aName, TimePoint /*aNow*/)
 {
   const auto found = entries_.find(aName);
   if (found == entries_.end()) {
@@ -80,7 +80,7 @@
   return UpdateState(found->second);
 }
 
-bool EndpointBook::OnLeaving(const std::string& aName, TimePoint /*aNow*/)
+bool EndpointRegistry::OnLeaving(const std::string& aName, TimePoint /*aNow*/)
 {
   const auto found = entries_.find(aName);
   if (found == entries_.end()) {
@@ -90,7 +90,8 @@
   return UpdateState(found->second);
 }
 
-bool EndpointBook::OnPeerWord(const EndpointDigest& aDigest, TimePoint /*aNow*/)
+bool EndpointRegistry::OnPeerDigest(const EndpointDigest& aDigest,
+                                    TimePoint /*aNow*/)
 {
   const auto found = entries_.find(aDigest.name_);
   if (found == entries_.end() ||
@@ -107,7 +108,7 @@
   return UpdateState(entry);
 }
 
-std::vector<EndpointView> EndpointBook::Views() const
+std::vector<EndpointView> EndpointRegistry::Views() const
 {
   std::vector<EndpointView> views;
   views.reserve(entries_.size());
@@ -117,7 +118,7 @@
   return views;
 }
 
-bool EndpointBook::UpdateState(Entry& aEntry) const
+bool EndpointRegistry::UpdateState(Entry& aEntry) const
 {
   EndpointState state = EndpointState::kLive;
   if (aEntry.listedLeaving_ || aEntry.reportedLeaving_) {
--- a/src/core/gooseberrylift-event-limit.cc
+++ b/src/core/gooseberrylift-event-rate-limiter.cc
@@ -1,10 +1,10 @@
-#include "gooseberrylift/gooseberrylift-event-limit.h"
+#include "gooseberrylift/gooseberrylift-event-rate-limiter.h"
 
 #include <utility>
 
 namespace gooseberrylift {
 
-std::optional<std::uint64_t> EventLimit::Pass(TimePoint aNow)
+std::optional<std::uint64_t> EventRateLimiter::Admit(TimePoint aNow)
 {
   const auto second =
     std::chrono::floor<std::chrono::seconds>(aNow.time_since_epoch());
--- a/src/core/gooseberrylift-first-token-histogram.cc
+++ b/src/core/gooseberrylift-first-token-histogram.cc
@@ -63,8 +63,9 @@
                                  std::chrono::microseconds aTime)
 {
   const std::chrono::duration<double> seconds = aTime;
-  impl_->histogram_(
-    aService, static_cast<int>(BandOf(aPromptTokens)), seconds.count());
+  impl_->histogram_(aService,
+                    static_cast<int>(PromptBandIndex(aPromptTokens)),
+                    seconds.count());
 }
 
 void FirstTokenHistogram::Merge(const FirstTokenHistogram& aOther)
@@ -85,7 +86,7 @@
     bh::weight(aBin.count_), aBin.service_, static_cast<int>(aBin.band_), time);
 }
 
-std::vector<FirstTokenHistogram::Bin> FirstTokenHistogram::Filled() const
+std::vector<FirstTokenHistogram::Bin> FirstTokenHistogram::NonEmptyBins() const
 {
   std::vector<Bin> bins;
   for (auto&& cell : bh::indexed(impl_->histogram_, bh::coverage::all)) {
@@ -109,7 +110,7 @@
   std::size_t aBand,
   double aShare) const
 {
-  std::vector<Bin> bins = Filled();
+  std::vector<Bin> bins = NonEmptyBins();
   std::erase_if(bins, [&](const Bin& aBin) {
     return aBin.service_ != aService || aBin.band_ != aBand;
   });
@@ -128,7 +129,7 @@
   return std::nullopt;
 }
 
-int FirstTokenHistogram::Bins()
+int FirstTokenHistogram::BinCount()
 {
   return kBins;
 }
--- a/src/core/gooseberrylift-peer-table.cc
+++ b/src/core/gooseberrylift-peer-table.cc
@@ -9,7 +9,8 @@
 namespace {
 
 // In a large fleet, one in this many rounds also contacts a host of another
-// zone. New generations don't wait for it: PickForNews selects peers at once.
+// zone. New generations don't wait for it: SelectOutdatedPeers selects peers at
+// once.
 constexpr std::uint64_t kRoundsPerOutOfZonePeer = 2;
 
 // The number of hosts whose heartbeats a zone can relay per round within the
@@ -109,7 +110,7 @@
   }
 }
 
-void PeerTable::SetOwn(Digest aOwn, TimePoint aNow)
+void PeerTable::BeginRound(Digest aOwn, TimePoint aNow)
 {
   // While this process was suspended it received no digests, so the gap must
   // not count towards the failure timeout of its peers. Without this adjustment
@@ -140,7 +141,7 @@
   EvictExpired(aNow);
 }
 
-std::vector<PeerMember> PeerTable::PickPeers()
+std::vector<PeerMember> PeerTable::SelectPeers()
 {
   std::vector<const Entry*> inScope;
   std::vector<const Entry*> outOfScope;
@@ -150,7 +151,7 @@
   std::vector<PeerMember> picked;
   SelectRandomPeer(inScope, picked);
   if (IsSmall()) {
-    for (std::size_t partner = 1; partner < options_.partners_; ++partner) {
+    for (std::size_t partner = 1; partner < options_.roundFanout_; ++partner) {
       SelectRandomPeer(inScope, picked);
     }
   } else if (rounds_ % kRoundsPerOutOfZonePeer == 0) {
@@ -159,7 +160,7 @@
   return picked;
 }
 
-std::vector<PeerMember> PeerTable::PickForNews(std::size_t aCount)
+std::vector<PeerMember> PeerTable::SelectOutdatedPeers(std::size_t aCount)
 {
   std::vector<const Entry*> outdated;
   for (const auto& [name, entry] : entries_) {
@@ -174,7 +175,7 @@
   return picked;
 }
 
-std::vector<PeerMember> PeerTable::PickNear(std::size_t aCount)
+std::vector<PeerMember> PeerTable::SelectPeersInScope(std::size_t aCount)
 {
   std::vector<PeerMember> inScope;
   for (const auto& [name, entry] : entries_) {
@@ -232,9 +233,10 @@
   return message;
 }
 
-PeerNews PeerTable::OnMessage(const PeerMessage& aMessage, TimePoint aNow)
+PeerMergeResult PeerTable::OnMessage(const PeerMessage& aMessage,
+                                     TimePoint aNow)
 {
-  PeerNews news{ .generation_ = aMessage.from_.generation_ };
+  PeerMergeResult news{ .generation_ = aMessage.from_.generation_ };
   news.changed_ = MergeDigest(aMessage.from_, aNow);
   for (const Digest& digest : aMessage.relayed_) {
     news.changed_ = MergeDigest(digest, aNow) || news.changed_;
@@ -293,7 +295,7 @@
   return known;
 }
 
-std::vector<PeerMember> PeerTable::HeardLately(TimePoint aNow) const
+std::vector<PeerMember> PeerTable::RecentlyHeard(TimePoint aNow) const
 {
   std::vector<PeerMember> heard;
   for (const auto& [name, entry] : entries_) {
@@ -314,7 +316,7 @@
   return hosts;
 }
 
-std::size_t PeerTable::FleetSize() const
+std::size_t PeerTable::EstimateOtherHosts() const
 {
   const std::map<std::string, std::size_t> known = ZoneHosts();
   std::map<std::string, std::size_t> reported;
@@ -365,12 +367,13 @@
 bool PeerTable::IsLive(const Entry& aEntry, TimePoint aNow) const
 {
   return !aEntry.digest_.host_.empty() &&
-         aNow - aEntry.lastHeard_ < options_.roundsUntilGone_ * Heartbeat();
+         aNow - aEntry.lastHeard_ < options_.roundsUntilExpired_ * Heartbeat();
 }
 
 void PeerTable::EvictExpired(TimePoint aNow)
 {
-  const auto keep = kRetentionFactor * options_.roundsUntilGone_ * Heartbeat();
+  const auto keep =
+    kRetentionFactor * options_.roundsUntilExpired_ * Heartbeat();
   std::erase_if(entries_, [&](const auto& aEntry) {
     const Entry& entry = aEntry.second;
     return aNow - std::max(entry.lastHeard_, entry.lastListed_) > keep;
--- a/src/core/gooseberrylift-scheduler.cc
+++ b/src/core/gooseberrylift-scheduler.cc
@@ -104,10 +104,10 @@
       { .id_ = aInfo.id_, .refusal_ = MakeError(ResultCode::kPromptTooLarge) });
     return;
   }
-  const bool first = aInfo.IsFirstTry();
+  const bool first = aInfo.IsFirstAttempt();
   if (first) {
     retryBudget_.OnFirstAttempt(aInfo.service_);
-  } else if (IsAdaptive() && !aInfo.freeRetry_ &&
+  } else if (IsAdaptive() && !aInfo.exemptFromRetryBudget_ &&
              !retryBudget_.TryTakeRetry(aInfo.service_)) {
     Refuse(aInfo.id_, ResultCode::kRetryBudgetSpent, {}, retryAfter);
     return;
@@ -242,7 +242,7 @@
   AdmissionController& admission = lane.AdmissionFor(info.class_);
   const bool empty = lane.queue_->Size() == 0;
   // A retry was admitted before and is ordered early by its deadline.
-  const bool first = info.IsFirstTry();
+  const bool first = info.IsFirstAttempt();
   const microseconds wait =
     empty || !first ? microseconds(0) : PredictWait(info);
   const microseconds service = Elapsed(aRequest.latestStart_, info.deadline_);
--- a/src/core/gooseberrylift-settings.cc
+++ b/src/core/gooseberrylift-settings.cc
@@ -195,8 +195,8 @@
     ParseMilliseconds(aSection, "retry_window_ms", gateway.retryWindow_);
   gateway.retryAllowance_ =
     aSection.value("retry_allowance", gateway.retryAllowance_);
-  gateway.longestHold_ =
-    ParseMilliseconds(aSection, "hold_max_ms", gateway.longestHold_);
+  gateway.maxHold_ =
+    ParseMilliseconds(aSection, "hold_max_ms", gateway.maxHold_);
   gateway.relaysStore_ = aSection.value("store_relay", gateway.relaysStore_);
   gateway.evacuations_ = aSection.value("evacuations", gateway.evacuations_);
   return gateway;
--- a/src/core/gooseberrylift-sse.cc
+++ b/src/core/gooseberrylift-sse.cc
@@ -2,7 +2,7 @@
 
 namespace gooseberrylift {
 
-std::optional<std::string> SseReader::Next()
+std::optional<std::string> SseParser::Next()
 {
   constexpr std::string_view kEventSeparator = "\n\n";
   constexpr std::string_view kDataField = "data:";
--- a/src/core/gooseberrylift-team-limiter.cc
+++ b/src/core/gooseberrylift-team-limiter.cc
@@ -70,9 +70,9 @@
   });
 }
 
-bool TeamLimiter::Take(const std::string& aTeam,
-                       std::uint64_t aTokens,
-                       TimePoint aNow)
+bool TeamLimiter::TryAcquire(const std::string& aTeam,
+                             std::uint64_t aTokens,
+                             TimePoint aNow)
 {
   if (!limits_.contains(aTeam)) {
     return true;
--- a/src/core/limits/gooseberrylift-endpoint-rates.cc
+++ b/src/core/limits/gooseberrylift-endpoint-rate-limits.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/limits/gooseberrylift-endpoint-rates.h"
+#include "gooseberrylift/limits/gooseberrylift-endpoint-rate-limits.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,16 +22,16 @@
 
 } // namespace
 
-std::optional<EndpointRate> EndpointRates::OnAnswer(
+std::optional<EndpointRate> EndpointRateLimits::OnAnswer(
   const Incarnation& aEndpoint,
-  const RateNotice& aNotice,
+  const AdvertisedRateLimit& aNotice,
   TimePoint aSent,
   TimePoint aNow)
 {
-  if (aNotice.kind_ == RateNotice::Kind::kUnreadable) {
+  if (aNotice.kind_ == AdvertisedRateLimit::Kind::kMalformed) {
     return std::nullopt;
   }
-  const bool hasLimit = aNotice.kind_ == RateNotice::Kind::kNamed;
+  const bool hasLimit = aNotice.kind_ == AdvertisedRateLimit::Kind::kSpecified;
   auto found = limits_.find(aEndpoint);
   if (found == limits_.end()) {
     if (!hasLimit) {
@@ -59,8 +59,9 @@
                        .perSecond_ = rate };
 }
 
-bool EndpointRates::IsUnchanged(const std::optional<double>& aCurrent,
-                                const std::optional<double>& aReported) const
+bool EndpointRateLimits::IsUnchanged(
+  const std::optional<double>& aCurrent,
+  const std::optional<double>& aReported) const
 {
   if (!aCurrent || !aReported) {
     return aCurrent.has_value() == aReported.has_value();
@@ -69,7 +70,7 @@
          *aCurrent * options_.changeTolerance_;
 }
 
-std::vector<EndpointRate> EndpointRates::OnPeer(
+std::vector<EndpointRate> EndpointRateLimits::OnPeer(
   const std::vector<EndpointRate>& aEntries,
   const IsListed& aIsListed,
   TimePoint aNow)
@@ -98,7 +99,7 @@
   return changed;
 }
 
-std::optional<EndpointRate> EndpointRates::Find(
+std::optional<EndpointRate> EndpointRateLimits::Find(
   const Incarnation& aEndpoint) const
 {
   const auto found = limits_.find(aEndpoint);
@@ -110,20 +111,20 @@
                        .perSecond_ = found->second.perSecond_ };
 }
 
-bool EndpointRates::HasLimits() const
+bool EndpointRateLimits::HasLimits() const
 {
   return std::any_of(limits_.begin(), limits_.end(), [](const auto& aCurrent) {
     return aCurrent.second.perSecond_.has_value();
   });
 }
 
-std::optional<double> EndpointRates::Of(const Incarnation& aEndpoint) const
+std::optional<double> EndpointRateLimits::Of(const Incarnation& aEndpoint) const
 {
   const auto found = limits_.find(aEndpoint);
   return found == limits_.end() ? std::nullopt : found->second.perSecond_;
 }
 
-std::vector<EndpointRate> EndpointRates::Entries() const
+std::vector<EndpointRate> EndpointRateLimits::Entries() const
 {
   std::vector<EndpointRate> entries;
   entries.reserve(limits_.size());
@@ -135,8 +136,8 @@
   return entries;
 }
 
-std::vector<Incarnation> EndpointRates::Sweep(const IsListed& aIsListed,
-                                              TimePoint aNow)
+std::vector<Incarnation> EndpointRateLimits::Sweep(const IsListed& aIsListed,
+                                                   TimePoint aNow)
 {
   std::vector<Incarnation> dropped;
   for (auto limit = limits_.begin(); limit != limits_.end();) {
--- a/src/core/limits/gooseberrylift-repeat-budget.cc
+++ b/src/core/limits/gooseberrylift-fleet-retry-budget.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/limits/gooseberrylift-repeat-budget.h"
+#include "gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h"
 
 #include <algorithm>
 
@@ -38,14 +38,14 @@
   return sum;
 }
 
-void RepeatBudget::OnRequest(const std::string& aService, TimePoint aNow)
+void FleetRetryBudget::OnRequest(const std::string& aService, TimePoint aNow)
 {
   services_[aService].requests_.Add(aNow, options_.window_);
 }
 
-bool RepeatBudget::TryRepeat(const std::string& aService,
-                             std::size_t aHosts,
-                             TimePoint aNow)
+bool FleetRetryBudget::TryRetry(const std::string& aService,
+                                std::size_t aHosts,
+                                TimePoint aNow)
 {
   if (Remaining(aService, aHosts, aNow) < 1) {
     return false;
@@ -54,9 +54,9 @@
   return true;
 }
 
-double RepeatBudget::Remaining(const std::string& aService,
-                               std::size_t aHosts,
-                               TimePoint aNow) const
+double FleetRetryBudget::Remaining(const std::string& aService,
+                                   std::size_t aHosts,
+                                   TimePoint aNow) const
 {
   const double share =
     options_.allowance_ / static_cast<double>(std::max<std::size_t>(aHosts, 1));
--- a/src/core/limits/gooseberrylift-crash-suspects.cc
+++ b/src/core/limits/gooseberrylift-poison-request-detector.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/limits/gooseberrylift-crash-suspects.h"
+#include "gooseberrylift/limits/gooseberrylift-poison-request-detector.h"
 
 #include <algorithm>
 #include <array>
@@ -23,9 +23,9 @@
 
 } // namespace
 
-std::string FingerprintOf(std::string_view aTarget,
-                          std::string_view aCaller,
-                          std::string_view aBody)
+std::string RequestFingerprint(std::string_view aTarget,
+                               std::string_view aCaller,
+                               std::string_view aBody)
 {
   // The hash of each part seeds the next one, so that shifting bytes from one
   // part to the next changes the fingerprint.
@@ -38,9 +38,9 @@
   return text.data();
 }
 
-bool CrashSuspects::OnBroken(const std::string& aFingerprint,
-                             const std::string& aEndpoint,
-                             WallTime aNow)
+bool PoisonRequestDetector::OnConnectionLost(const std::string& aFingerprint,
+                                             const std::string& aEndpoint,
+                                             WallTime aNow)
 {
   Suspect& suspect = suspects_[aFingerprint];
   if (aNow - suspect.firstLost_ > options_.observationWindow_) {
@@ -57,8 +57,9 @@
   return quarantined;
 }
 
-std::vector<std::string> CrashSuspects::OnEnded(const std::string& aEndpoint,
-                                                WallTime aNow)
+std::vector<std::string> PoisonRequestDetector::OnEndpointExit(
+  const std::string& aEndpoint,
+  WallTime aNow)
 {
   lastExits_[aEndpoint] = aNow;
   EvictOldest(
@@ -81,7 +82,7 @@
   return quarantined;
 }
 
-std::set<std::string> CrashSuspects::ConfirmedCrashes(
+std::set<std::string> PoisonRequestDetector::ConfirmedCrashes(
   const Suspect& aSuspect) const
 {
   std::set<std::string> crashed;
@@ -95,8 +96,9 @@
 
 // Returns whether another request also ran on all of these endpoints when they
 // crashed.
-bool CrashSuspects::HasSameCrashes(const std::string& aFingerprint,
-                                   const std::set<std::string>& aCrashed) const
+bool PoisonRequestDetector::HasSameCrashes(
+  const std::string& aFingerprint,
+  const std::set<std::string>& aCrashed) const
 {
   return std::any_of(
     suspects_.begin(), suspects_.end(), [&](const auto& aEntry) {
@@ -108,8 +110,9 @@
 }
 
 // Quarantines a request if enough endpoints crashed while they ran it.
-bool CrashSuspects::QuarantineIfConfirmed(const std::string& aFingerprint,
-                                          WallTime aNow)
+bool PoisonRequestDetector::QuarantineIfConfirmed(
+  const std::string& aFingerprint,
+  WallTime aNow)
 {
   const std::set<std::string> crashed =
     ConfirmedCrashes(suspects_.at(aFingerprint));
@@ -127,14 +130,14 @@
   return true;
 }
 
-bool CrashSuspects::IsQuarantined(const std::string& aFingerprint,
-                                  WallTime aNow) const
+bool PoisonRequestDetector::IsQuarantined(const std::string& aFingerprint,
+                                          WallTime aNow) const
 {
   const auto found = quarantine_.find(aFingerprint);
   return found != quarantine_.end() && aNow < found->second;
 }
 
-void CrashSuspects::OnPeer(const std::vector<QuarantineEntry>& aEntries)
+void PoisonRequestDetector::OnPeer(const std::vector<QuarantineEntry>& aEntries)
 {
   for (const QuarantineEntry& entry : aEntries) {
     WallTime& until = quarantine_[entry.fingerprint_];
@@ -144,7 +147,7 @@
     quarantine_, options_.maxEntries_, [](WallTime aUntil) { return aUntil; });
 }
 
-std::vector<QuarantineEntry> CrashSuspects::Entries(WallTime aNow) const
+std::vector<QuarantineEntry> PoisonRequestDetector::Entries(WallTime aNow) const
 {
   std::vector<QuarantineEntry> entries;
   for (const auto& [fingerprint, until] : quarantine_) {
--- a/src/core/limits/gooseberrylift-rate-granter.cc
+++ b/src/core/limits/gooseberrylift-rate-granter.cc
@@ -20,10 +20,10 @@
 
 } // namespace
 
-RateVerdict RateGranter::Ask(const Incarnation& aEndpoint,
-                             double aPerSecond,
-                             std::size_t aGranters,
-                             TimePoint aNow)
+RateGrant RateGranter::RequestPermits(const Incarnation& aEndpoint,
+                                      double aPerSecond,
+                                      std::size_t aGranters,
+                                      TimePoint aNow)
 {
   const double rate =
     std::clamp(aPerSecond, options_.minPerSecond_, options_.maxPerSecond_) /
@@ -58,8 +58,9 @@
   if (granted.nextRetry_ < latest) {
     granted.nextRetry_ += interval;
   }
-  return { .retryIn_ = std::max(std::chrono::ceil<milliseconds>(retryAt - aNow),
-                                options_.minRetry_) };
+  return { .retryAfter_ =
+             std::max(std::chrono::ceil<milliseconds>(retryAt - aNow),
+                      options_.minRetry_) };
 }
 
 void RateGranter::Sweep(TimePoint aNow)
@@ -69,8 +70,8 @@
   });
 }
 
-std::string GranterOf(const Incarnation& aEndpoint,
-                      const std::vector<std::string>& aHosts)
+std::string ChooseGranter(const Incarnation& aEndpoint,
+                          const std::vector<std::string>& aHosts)
 {
   const std::uint64_t seed = HashOf(aEndpoint.id_, 0);
   const auto first =
--- a/src/core/limits/gooseberrylift-rate-permits.cc
+++ b/src/core/limits/gooseberrylift-rate-permits.cc
@@ -20,7 +20,7 @@
   return true;
 }
 
-bool RatePermits::BeginAsking(const Incarnation& aEndpoint, TimePoint aNow)
+bool RatePermits::TryBeginRequest(const Incarnation& aEndpoint, TimePoint aNow)
 {
   PermitState& state = states_[aEndpoint];
   if (state.pending_ || aNow < state.nextRequest_) {
@@ -31,9 +31,9 @@
   return true;
 }
 
-void RatePermits::OnVerdict(const Incarnation& aEndpoint,
-                            const RateVerdict& aGrant,
-                            TimePoint aNow)
+void RatePermits::OnGrant(const Incarnation& aEndpoint,
+                          const RateGrant& aGrant,
+                          TimePoint aNow)
 {
   const auto found = states_.find(aEndpoint);
   if (found == states_.end()) {
@@ -43,16 +43,16 @@
   state.pending_ = false;
   state.permits_ = aGrant.permits_;
   state.expires_ = state.lastRequested_ + options_.lifetime_;
-  state.nextRequest_ = aNow + aGrant.retryIn_;
+  state.nextRequest_ = aNow + aGrant.retryAfter_;
 }
 
-void RatePermits::OnUnanswered(const Incarnation& aEndpoint, TimePoint aNow)
+void RatePermits::OnRequestFailed(const Incarnation& aEndpoint, TimePoint aNow)
 {
-  OnVerdict(aEndpoint, { .retryIn_ = options_.failureRetry_ }, aNow);
+  OnGrant(aEndpoint, { .retryAfter_ = options_.failureRetry_ }, aNow);
 }
 
-milliseconds RatePermits::OpensIn(const Incarnation& aEndpoint,
-                                  TimePoint aNow) const
+milliseconds RatePermits::TimeUntilPermit(const Incarnation& aEndpoint,
+                                          TimePoint aNow) const
 {
   const auto found = states_.find(aEndpoint);
   if (found == states_.end() || found->second.pending_) {
--- a/src/core/limits/gooseberrylift-route-admission.cc
+++ b/src/core/limits/gooseberrylift-route-admission.cc
@@ -19,15 +19,16 @@
 
 } // namespace
 
-std::optional<milliseconds> RefuseFor(const AdmissionQuestion& aInput)
+std::optional<milliseconds> RetryDelayIfRefused(const AdmissionInput& aInput)
 {
-  const milliseconds available = std::min(aInput.remaining_, aInput.patience_);
+  const milliseconds available =
+    std::min(aInput.remaining_, aInput.callerStallTimeout_);
   // A request that was held is admitted as long as it can complete in time at
   // all: for its caller that is better than a rejection after a wait.
   const auto usable = std::min(
     std::chrono::duration_cast<milliseconds>(
       std::chrono::duration<double, std::milli>(available) * kUsableShare),
-    aInput.patience_ - aInput.held_);
+    aInput.callerStallTimeout_ - aInput.held_);
   const auto predicted =
     std::chrono::duration_cast<milliseconds>(aInput.predicted_);
   if (predicted <= usable) {
@@ -36,10 +37,10 @@
   const milliseconds excess = std::max(predicted - usable, kMinRetryDelay);
   const milliseconds spread(aInput.draw_ %
                             static_cast<std::uint64_t>(excess.count()));
-  return std::min(excess + spread, LatestReturnOf(aInput.remaining_));
+  return std::min(excess + spread, MaxRetryDelay(aInput.remaining_));
 }
 
-milliseconds LatestReturnOf(milliseconds aRemaining)
+milliseconds MaxRetryDelay(milliseconds aRemaining)
 {
   return std::max(aRemaining / kMaxRetryDivisor, kMinRetryDelay);
 }
--- a/src/core/limits/gooseberrylift-patience.cc
+++ b/src/core/limits/gooseberrylift-stall-timeout.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 
 #include <algorithm>
 
@@ -26,7 +26,7 @@
 
 } // namespace
 
-milliseconds CallerPatience(const Route& aRoute)
+milliseconds CallerStallTimeout(const Route& aRoute)
 {
   if (aRoute.kind_ != RouteKind::kStreaming) {
     return aRoute.timeout_;
@@ -36,34 +36,34 @@
                     aRoute.maxGap_ * kCallerGapFactor });
 }
 
-milliseconds SilenceLimit(const Route& aRoute)
+milliseconds EndpointStallTimeout(const Route& aRoute)
 {
   if (aRoute.kind_ != RouteKind::kStreaming) {
     return std::min(aRoute.timeout_, aRoute.objective_ * kPlainObjectiveFactor);
   }
-  return CallerPatience(aRoute) / 2;
+  return CallerStallTimeout(aRoute) / 2;
 }
 
-bool LooksHung(const EndpointSigns& aActivity, milliseconds aLimit)
+bool IsRequestStalled(const EndpointActivity& aActivity, milliseconds aLimit)
 {
   // Prefill lengthens the batch step that it runs in. At most half of the
   // timeout is added for it, so that enough of the caller's timeout is left for
   // another endpoint.
   const milliseconds limit = aLimit + std::min(aActivity.backlog_, aLimit / 2);
-  const bool silentToAll = aActivity.silent_ >= limit;
+  const bool silentToAll = aActivity.hostSilence_ >= limit;
   if (aActivity.begun_) {
     // An engine that sends events to other requests but not to this one has
     // lost it. The events of one batch step arrive one after the other, so a
     // short delay is allowed.
-    const bool servesOthers = aActivity.silent_ < aLimit;
-    return silentToAll || (servesOthers &&
-                           aActivity.silentHere_ >= aLimit + kBatchWriteSpread);
+    const bool servesOthers = aActivity.hostSilence_ < aLimit;
+    return silentToAll || (servesOthers && aActivity.requestSilence_ >=
+                                             aLimit + kBatchWriteSpread);
   }
   if (!silentToAll) {
     return aActivity.overtaken_;
   }
   const bool answersOthers =
-    aActivity.silentToPeers_ && *aActivity.silentToPeers_ < aLimit;
+    aActivity.peerSilence_ && *aActivity.peerSilence_ < aLimit;
   const bool saturated =
     aActivity.running_ >= aActivity.slots_ * kSaturatedShare;
   return !answersOthers || !saturated;
--- a/src/core/membership/gooseberrylift-word-pace.cc
+++ b/src/core/membership/gooseberrylift-load-message-pacer.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/membership/gooseberrylift-word-pace.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message-pacer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-milliseconds WordPace::Interval(std::size_t aPeers) const
+milliseconds LoadMessagePacer::Interval(std::size_t aPeers) const
 {
   constexpr double kSecond = 1'000; // ms
   const double rateLimited =
@@ -21,31 +21,32 @@
            : std::max(interval, options_.largeFleetInterval_);
 }
 
-TimePoint WordPace::DueAt(TimePoint aNow, std::size_t aPeers) const
+TimePoint LoadMessagePacer::NextSnapshotTime(TimePoint aNow,
+                                             std::size_t aPeers) const
 {
   return std::max(aNow, lastSnapshot_ + Interval(aPeers));
 }
 
-double WordPace::UsedTokens(TimePoint aNow) const
+double LoadMessagePacer::UsedTokens(TimePoint aNow) const
 {
   const std::chrono::duration<double> elapsed = aNow - usedTokensAt_;
   return std::max(
     usedTokens_ - elapsed.count() * options_.deltaDatagramsPerSecond_, 0.0);
 }
 
-bool WordPace::MayTell(TimePoint aNow, std::size_t aPeers) const
+bool LoadMessagePacer::MaySendDelta(TimePoint aNow, std::size_t aPeers) const
 {
   const auto peers = static_cast<double>(aPeers);
   return UsedTokens(aNow) + peers <= options_.deltaBurst_ * peers;
 }
 
-void WordPace::OnTold(TimePoint aNow, std::size_t aPeers)
+void LoadMessagePacer::OnDeltaSent(TimePoint aNow, std::size_t aPeers)
 {
   usedTokens_ = UsedTokens(aNow) + static_cast<double>(aPeers);
   usedTokensAt_ = aNow;
 }
 
-bool WordPace::MustRepeat(TimePoint aNow, std::size_t aPeers) const
+bool LoadMessagePacer::IsRepeatDue(TimePoint aNow, std::size_t aPeers) const
 {
   return aNow >=
          lastSnapshot_ + std::max(options_.repeatInterval_, Interval(aPeers));
--- a/src/core/membership/gooseberrylift-load-word.cc
+++ b/src/core/membership/gooseberrylift-load-message.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/membership/gooseberrylift-load-word.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 {
   return json::array({ aShare.id_,
                        aShare.running_,
-                       aShare.tight_,
+                       aShare.tightGap_,
                        aShare.memoryTokens_,
                        aShare.backlog_.count(),
                        aShare.deferred_,
@@ -35,7 +35,7 @@
 {
   return { .id_ = aItem.at(0),
            .running_ = aItem.at(1),
-           .tight_ = aItem.at(2),
+           .tightGap_ = aItem.at(2),
            .memoryTokens_ = aItem.at(3),
            .backlog_ =
              std::chrono::microseconds(aItem.at(4).get<std::int64_t>()),
@@ -44,28 +44,29 @@
              std::chrono::milliseconds(aItem.at(6).get<std::int64_t>()) };
 }
 
-int ToWire(LoadWordPart aKind, bool aIsFirst)
+int ToWire(LoadMessageKind aKind, bool aIsFirst)
 {
   switch (aKind) {
-    case LoadWordPart::kChange:
+    case LoadMessageKind::kDelta:
       return kWireDelta;
-    case LoadWordPart::kMore:
+    case LoadMessageKind::kSnapshotContinued:
       return kWireSnapshotContinued;
-    case LoadWordPart::kFirst:
+    case LoadMessageKind::kSnapshot:
       break;
   }
   return aIsFirst ? kWireSnapshot : kWireSnapshotContinued;
 }
 
-LoadWordPart FromWire(int aWire)
+LoadMessageKind FromWire(int aWire)
 {
   if (aWire == kWireDelta) {
-    return LoadWordPart::kChange;
+    return LoadMessageKind::kDelta;
   }
-  return aWire == kWireSnapshot ? LoadWordPart::kFirst : LoadWordPart::kMore;
+  return aWire == kWireSnapshot ? LoadMessageKind::kSnapshot
+                                : LoadMessageKind::kSnapshotContinued;
 }
 
-std::string EncodeDatagram(const LoadWord& aMessage,
+std::string EncodeDatagram(const LoadMessage& aMessage,
                            std::size_t aBegin,
                            std::size_t aEnd)
 {
@@ -75,11 +76,11 @@
   }
   json datagram = json::array({ aMessage.host_,
                                 aMessage.sequence_,
-                                ToWire(aMessage.part_, aBegin == 0),
+                                ToWire(aMessage.kind_, aBegin == 0),
                                 std::move(shares) });
   if (!aMessage.zone_.empty()) {
     datagram.push_back(aMessage.zone_);
-    datagram.push_back(aMessage.passOn_);
+    datagram.push_back(aMessage.relayToZone_);
   }
   std::string bytes;
   json::to_cbor(datagram, bytes);
@@ -88,7 +89,7 @@
 
 } // namespace
 
-std::vector<std::string> EncodeLoadWord(const LoadWord& aMessage)
+std::vector<std::string> EncodeLoadMessage(const LoadMessage& aMessage)
 {
   std::vector<std::string> datagrams;
   std::size_t begin = 0;
@@ -101,19 +102,19 @@
   return datagrams;
 }
 
-std::optional<LoadWord> DecodeLoadWord(std::string_view aBytes)
+std::optional<LoadMessage> DecodeLoadMessage(std::string_view aBytes)
 {
   const json datagram = json::from_cbor(aBytes, true, false);
   if (datagram.is_discarded()) {
     return std::nullopt;
   }
   try {
-    LoadWord message{ .host_ = datagram.at(0),
-                      .sequence_ = datagram.at(1),
-                      .part_ = FromWire(datagram.at(2)) };
+    LoadMessage message{ .host_ = datagram.at(0),
+                         .sequence_ = datagram.at(1),
+                         .kind_ = FromWire(datagram.at(2)) };
     if (datagram.size() > kRelayIndex) {
       message.zone_ = datagram.at(kZoneIndex);
-      message.passOn_ = datagram.at(kRelayIndex);
+      message.relayToZone_ = datagram.at(kRelayIndex);
     }
     for (const json& share : datagram.at(3)) {
       message.shares_.push_back(ShareFromJson(share));
--- a/src/core/membership/gooseberrylift-peer-groups.cc
+++ b/src/core/membership/gooseberrylift-peer-groups.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-#include "gooseberrylift/membership/gooseberrylift-zone-sums.h"
+#include "gooseberrylift/membership/gooseberrylift-zone-load.h"
 
 namespace gooseberrylift {
 
@@ -17,7 +17,7 @@
 
 // Sets this host's rank in its zone and the addresses of the hosts next by
 // rank, which take over aggregating the zone if this host fails.
-void RankInZone(const PeerSnapshot& aPeers, WordPeers& aRecipients)
+void RankInZone(const PeerSnapshot& aPeers, LoadMessagePeers& aRecipients)
 {
   std::vector<const Digest*> successors;
   for (const Digest& digest : aPeers.live_) {
@@ -31,7 +31,7 @@
     }
   }
   const std::size_t count =
-    std::min(successors.size(), ZoneTurn::Options{}.candidates_ - 1);
+    std::min(successors.size(), ZoneAggregatorRole::Options{}.candidates_ - 1);
   std::partial_sort(successors.begin(),
                     successors.begin() + static_cast<std::ptrdiff_t>(count),
                     successors.end(),
@@ -70,8 +70,8 @@
   return groups;
 }
 
-std::vector<PeerMember> DrawPeers(const PeerGroups& aGroups,
-                                  std::minstd_rand& aRandom)
+std::vector<PeerMember> SamplePeers(const PeerGroups& aGroups,
+                                    std::minstd_rand& aRandom)
 {
   std::vector<PeerMember> sample;
   const auto addSample = [&](const std::vector<PeerMember>& aFrom,
@@ -88,9 +88,10 @@
   return sample;
 }
 
-ReadRank RankAmong(const ReadCandidate& aSelf, const std::vector<Digest>& aLive)
+ReaderRank RankAmong(const ReaderCandidate& aSelf,
+                     const std::vector<Digest>& aLive)
 {
-  std::vector<ReadCandidate> others;
+  std::vector<ReaderCandidate> others;
   others.reserve(aLive.size());
   for (const Digest& digest : aLive) {
     others.push_back({ .host_ = digest.host_,
--- a/src/core/membership/gooseberrylift-read-turn.cc
+++ b/src/core/membership/gooseberrylift-store-read-schedule.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 
 #include <algorithm>
 #include <bit>
@@ -35,26 +35,28 @@
   return HashRankOf(aHost) < HashRankOf(aOther);
 }
 
-ReadRank RankReaders(const ReadCandidate& aSelf,
-                     const std::vector<ReadCandidate>& aOthers)
+ReaderRank RankReaders(const ReaderCandidate& aSelf,
+                       const std::vector<ReaderCandidate>& aOthers)
 {
-  ReadRank rank;
-  for (const ReadCandidate& other : aOthers) {
+  ReaderRank rank;
+  for (const ReaderCandidate& other : aOthers) {
     if (other.leaving_) {
       continue;
     }
     ++rank.hosts_;
     if (aSelf.leaving_ || RanksBefore(other.host_, aSelf.host_)) {
       ++rank.rank_;
-      rank.before_ += other.storeUnreachable_ ? 0 : 1;
+      rank.reachableBefore_ += other.storeUnreachable_ ? 0 : 1;
     }
   }
   return rank;
 }
 
-milliseconds ReadTurn::MaxAge(TimePoint aNow, const ReadRank& aRank) const
+milliseconds StoreReadSchedule::MaxAge(TimePoint aNow,
+                                       const ReaderRank& aRank) const
 {
-  if (aRank.rank_ == 0 || (aRank.before_ == 0 && Reads(aNow))) {
+  if (aRank.rank_ == 0 ||
+      (aRank.reachableBefore_ == 0 && IsActiveReader(aNow))) {
     return options_.interval_;
   }
   const auto doublings = std::bit_width(aRank.hosts_);
@@ -66,15 +68,15 @@
   return std::min(maxAge, limit);
 }
 
-bool ReadTurn::Reads(TimePoint aNow) const
+bool StoreReadSchedule::IsActiveReader(TimePoint aNow) const
 {
   return lastRead_ &&
          aNow - *lastRead_ < kActiveReaderIntervals * options_.interval_;
 }
 
-milliseconds ReadTurn::DueIn(TimePoint aNow,
-                             std::optional<milliseconds> aAge,
-                             const ReadRank& aRank) const
+milliseconds StoreReadSchedule::DueIn(TimePoint aNow,
+                                      std::optional<milliseconds> aAge,
+                                      const ReaderRank& aRank) const
 {
   const auto delay = ceil<milliseconds>(nextAttempt_ - aNow);
   if (!aAge) {
@@ -83,7 +85,7 @@
   return std::max(delay, MaxAge(aNow, aRank) - *aAge);
 }
 
-milliseconds ReadTurn::RetryDelay(const ReadRank& aRank) const
+milliseconds StoreReadSchedule::RetryDelay(const ReaderRank& aRank) const
 {
   const auto backoff = options_.retryDelay_ *
                        (1 << std::min(consecutiveFailures_ - 1, kMaxDoublings));
@@ -96,21 +98,21 @@
   return std::max(delay, duration_cast<milliseconds>(shared));
 }
 
-void ReadTurn::CancelDelay()
+void StoreReadSchedule::CancelDelay()
 {
   if (consecutiveFailures_ == 0) {
     nextAttempt_ = {};
   }
 }
 
-void ReadTurn::OnRead(TimePoint aNow)
+void StoreReadSchedule::OnRead(TimePoint aNow)
 {
   consecutiveFailures_ = 0;
   nextAttempt_ = {};
   lastRead_ = aNow;
 }
 
-void ReadTurn::OnFailed(TimePoint aNow, const ReadRank& aRank)
+void StoreReadSchedule::OnFailed(TimePoint aNow, const ReaderRank& aRank)
 {
   ++consecutiveFailures_;
   nextAttempt_ = aNow + RetryDelay(aRank);
--- a/src/core/membership/gooseberrylift-store-view.cc
+++ b/src/core/membership/gooseberrylift-store-view.cc
@@ -13,15 +13,15 @@
   return revision;
 }
 
-ViewNews StoreView::OnList(std::vector<ViewedObject> aObjects,
-                           std::uint64_t aRevision)
+ViewUpdate StoreView::OnList(std::vector<CachedObject> aObjects,
+                             std::uint64_t aRevision)
 {
-  ViewNews update;
+  ViewUpdate update;
   if (aRevision < revision_) {
     return update;
   }
   std::set<std::string> listed;
-  for (ViewedObject& object : aObjects) {
+  for (CachedObject& object : aObjects) {
     listed.insert(object.name_);
     Upsert(std::move(object), aRevision, update);
   }
@@ -31,14 +31,14 @@
   return update;
 }
 
-ViewNews StoreView::OnTold(ViewChanges aChanges)
+ViewUpdate StoreView::ApplyDelta(StoreDelta aChanges)
 {
-  ViewNews update;
+  ViewUpdate update;
   const std::uint64_t revision = aChanges.revision_;
   if (revision < revision_) {
     return update; // newer changes have arrived meanwhile
   }
-  for (ViewedObject& object : aChanges.objects_) {
+  for (CachedObject& object : aChanges.objects_) {
     Upsert(std::move(object), revision, update);
   }
   for (const std::string& name : aChanges.removed_) {
@@ -53,9 +53,9 @@
   return update;
 }
 
-void StoreView::Upsert(ViewedObject aObject,
+void StoreView::Upsert(CachedObject aObject,
                        std::uint64_t aRevision,
-                       ViewNews& aUpdate)
+                       ViewUpdate& aUpdate)
 {
   Entry& entry = objects_[aObject.name_];
   if (entry.changeRevision_ != 0 &&
@@ -70,7 +70,7 @@
 
 void StoreView::Remove(const std::string& aName,
                        std::uint64_t aRevision,
-                       ViewNews& aUpdate)
+                       ViewUpdate& aUpdate)
 {
   // Record the removal even if the object is not in this view: other hosts may
   // have it.
@@ -90,7 +90,7 @@
 
 void StoreView::RemoveUnlisted(const std::set<std::string>& aListed,
                                std::uint64_t aRevision,
-                               ViewNews& aUpdate)
+                               ViewUpdate& aUpdate)
 {
   std::vector<std::string> removed;
   for (const auto& [name, entry] : objects_) {
@@ -103,9 +103,9 @@
   }
 }
 
-ViewChanges StoreView::Since(std::uint64_t aRevision) const
+StoreDelta StoreView::Since(std::uint64_t aRevision) const
 {
-  ViewChanges changes{ .revision_ = revision_ };
+  StoreDelta changes{ .revision_ = revision_ };
   for (const auto& [name, entry] : objects_) {
     if (entry.changeRevision_ > aRevision) {
       changes.objects_.push_back(entry.object_);
--- a/src/core/membership/gooseberrylift-zone-sums.cc
+++ b/src/core/membership/gooseberrylift-zone-load.cc
@@ -1,11 +1,11 @@
-#include "gooseberrylift/membership/gooseberrylift-zone-sums.h"
+#include "gooseberrylift/membership/gooseberrylift-zone-load.h"
 
 #include <algorithm>
 #include <set>
 #include <tuple>
 #include <utility>
 
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 
 namespace gooseberrylift {
 
@@ -16,7 +16,7 @@
 auto CountsOf(const EndpointShare& aShare)
 {
   return std::tie(
-    aShare.running_, aShare.tight_, aShare.memoryTokens_, aShare.deferred_);
+    aShare.running_, aShare.tightGap_, aShare.memoryTokens_, aShare.deferred_);
 }
 
 } // namespace
@@ -26,9 +26,9 @@
   return "zone/" + aZone;
 }
 
-bool ZoneSummer::NeedsUpdate(const EndpointShare& aNew,
-                             const SentShare& aSent,
-                             TimePoint aNow)
+bool ZoneLoadAggregator::NeedsUpdate(const EndpointShare& aNew,
+                                     const SentShare& aSent,
+                                     TimePoint aNow)
 {
   const auto elapsed =
     std::chrono::duration_cast<std::chrono::microseconds>(aNow - aSent.at_);
@@ -43,8 +43,8 @@
          aNew.silent_ + options_.activityInterval_ < silent;
 }
 
-void ZoneSummer::MarkChanges(const std::vector<EndpointShare>& aTotals,
-                             TimePoint aNow)
+void ZoneLoadAggregator::MarkChanges(const std::vector<EndpointShare>& aTotals,
+                                     TimePoint aNow)
 {
   std::set<std::string> listed;
   for (const EndpointShare& total : aTotals) {
@@ -62,7 +62,7 @@
   }
 }
 
-std::optional<ZoneSummer::Message> ZoneSummer::Next(
+std::optional<ZoneLoadAggregator::Message> ZoneLoadAggregator::NextMessage(
   const std::vector<EndpointShare>& aTotals,
   TimePoint aNow)
 {
@@ -74,7 +74,7 @@
     }
     lastSnapshot_ = aNow;
     lastMessage_ = aNow;
-    return Message{ .part_ = LoadWordPart::kFirst, .shares_ = aTotals };
+    return Message{ .kind_ = LoadMessageKind::kSnapshot, .shares_ = aTotals };
   }
   MarkChanges(aTotals, aNow);
   Message message;
@@ -92,13 +92,13 @@
   return message;
 }
 
-bool ZoneTurn::IsOwn(TimePoint aNow, std::size_t aRank) const
+bool ZoneAggregatorRole::IsAggregator(TimePoint aNow, std::size_t aRank) const
 {
   return aRank == 0 || (aRank < options_.candidates_ &&
                         aNow - lastHeard_ > options_.takeoverDelay_ * aRank);
 }
 
-bool ZoneSources::Accepts(const LoadWord& aMessage, TimePoint aNow)
+bool ZoneMessageFilter::Accepts(const LoadMessage& aMessage, TimePoint aNow)
 {
   Aggregator& accepted = aggregators_[aMessage.zone_];
   if (accepted.host_ == aMessage.host_) {
@@ -108,7 +108,7 @@
   const bool canReplace = accepted.host_.empty() ||
                           aNow - accepted.lastHeard_ > options_.silenceTimeout_;
   const bool accepts =
-    aMessage.part_ == LoadWordPart::kFirst &&
+    aMessage.kind_ == LoadMessageKind::kSnapshot &&
     (canReplace || RanksBefore(aMessage.host_, accepted.host_));
   if (accepts) {
     accepted = { .host_ = aMessage.host_, .lastHeard_ = aNow };
--- a/src/core/routing/gooseberrylift-endpoint-directory.cc
+++ b/src/core/routing/gooseberrylift-endpoint-directory.cc
@@ -7,16 +7,16 @@
 bool EndpointDirectory::OnListed(const ListedEndpoint& aListed)
 {
   const auto [newest, isNew] =
-    newestStart_.try_emplace(aListed.id_, aListed.born_);
-  if (aListed.born_ < newest->second) {
+    newestStart_.try_emplace(aListed.id_, aListed.startTime_);
+  if (aListed.startTime_ < newest->second) {
     return false; // a delayed update of an older incarnation
   }
   ++changes_;
-  const bool restarted = !isNew && aListed.born_ > newest->second;
-  newest->second = aListed.born_;
+  const bool restarted = !isNew && aListed.startTime_ > newest->second;
+  newest->second = aListed.startTime_;
   entries_[aListed.id_] = { .listed_ = aListed, .removeAt_ = std::nullopt };
   if (aListed.leaving_) {
-    leaving_[aListed.id_] = aListed.born_;
+    leaving_[aListed.id_] = aListed.startTime_;
   }
   return restarted;
 }
@@ -56,7 +56,7 @@
 bool EndpointDirectory::IsLeaving(const ListedEndpoint& aListed) const
 {
   const auto left = leaving_.find(aListed.id_);
-  return left != leaving_.end() && aListed.born_ <= left->second;
+  return left != leaving_.end() && aListed.startTime_ <= left->second;
 }
 
 // After an outage of the store, an entry may be missing only because its lease
--- a/src/core/routing/gooseberrylift-engine-figures.cc
+++ b/src/core/routing/gooseberrylift-engine-profile.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/routing/gooseberrylift-engine-figures.h"
+#include "gooseberrylift/routing/gooseberrylift-engine-profile.h"
 
 #include <algorithm>
 
@@ -14,24 +14,24 @@
 
 } // namespace
 
-std::chrono::microseconds EngineFigures::ReadTime(std::uint64_t aTokens,
-                                                  int aEngines) const
+std::chrono::microseconds EngineProfile::PrefillTime(std::uint64_t aTokens,
+                                                     int aEngines) const
 {
   const auto tokens = static_cast<double>(aTokens);
   const double millionPairs = tokens * tokens / 2 / 1e6;
-  const double wholeMs = tokens / std::max(readTokensPerMs_, 1e-6) +
-                         millionPairs * readPerMillionPairsMs_;
+  const double wholeMs = tokens / std::max(prefillTokensPerMs_, 1e-6) +
+                         millionPairs * prefillMsPerMillionPairs_;
   return FromMilliseconds(wholeMs / std::max(aEngines, 1));
 }
 
-std::chrono::microseconds EngineFigures::PassTime(
+std::chrono::microseconds EngineProfile::PassTime(
   int aDecoding,
   std::uint64_t aContextTokens) const
 {
   const double step =
     stepMs_ + aDecoding * stepPerSequenceMs_ +
     static_cast<double>(aContextTokens) / 1000 * stepPerThousandMs_;
-  return FromMilliseconds(step * std::max(stride_, 1));
+  return FromMilliseconds(step * std::max(stepsPerPass_, 1));
 }
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-fleet-load.cc
+++ b/src/core/routing/gooseberrylift-fleet-load.cc
@@ -84,7 +84,7 @@
   }
 }
 
-void FleetLoad::OnReborn(const std::string& aEndpoint)
+void FleetLoad::OnRestarted(const std::string& aEndpoint)
 {
   local_.erase(aEndpoint);
   shares_.erase(aEndpoint);
@@ -98,9 +98,9 @@
   }
 }
 
-void FleetLoad::OnPeer(const std::string& aHost,
-                       std::vector<EndpointShare> aShares,
-                       TimePoint aAt)
+void FleetLoad::OnPeerSnapshot(const std::string& aHost,
+                               std::vector<EndpointShare> aShares,
+                               TimePoint aAt)
 {
   Peer& peer = peers_[aHost];
   if (aAt < peer.at_) {
@@ -113,15 +113,15 @@
   StorePeerShares(aHost, std::move(aShares), aAt);
 }
 
-void FleetLoad::OnMoreOfPeer(const std::string& aHost,
-                             std::vector<EndpointShare> aShares)
+void FleetLoad::OnPeerSnapshotContinued(const std::string& aHost,
+                                        std::vector<EndpointShare> aShares)
 {
   StorePeerShares(aHost, std::move(aShares), peers_[aHost].at_);
 }
 
-void FleetLoad::OnChangeOfPeer(const std::string& aHost,
-                               std::vector<EndpointShare> aShares,
-                               TimePoint aAt)
+void FleetLoad::OnPeerDelta(const std::string& aHost,
+                            std::vector<EndpointShare> aShares,
+                            TimePoint aAt)
 {
   Peer& peer = peers_[aHost];
   peer.at_ = std::max(peer.at_, aAt);
@@ -158,12 +158,12 @@
     share.memoryTokens_ += sent.cost_.memoryTokens_;
     if (!sent.cost_.isHelper_) {
       share.running_ += 1;
-      share.tight_ += sent.cost_.tight_ ? 1 : 0;
+      share.tightGap_ += sent.cost_.tightGap_ ? 1 : 0;
     }
     if (!sent.started_) {
       share.deferred_ += sent.cost_.deferred_ ? 1 : 0;
-      share.backlog_ += sent.cost_.read_;
-      minBacklog += sent.cost_.read_ / kMinBacklogDivisor;
+      share.backlog_ += sent.cost_.prefill_;
+      minBacklog += sent.cost_.prefill_ / kMinBacklogDivisor;
       oldestSent = std::min(oldestSent, sent.at_);
     }
   }
@@ -180,7 +180,7 @@
   const auto add = [&load](const EndpointShare& aShare,
                            TimePoint::duration aAge) {
     load.running_ += aShare.running_;
-    load.tight_ += aShare.tight_;
+    load.tightGap_ += aShare.tightGap_;
     load.memoryTokens_ += aShare.memoryTokens_;
     load.backlog_ += RemainingBacklog(aShare.backlog_, aAge);
     load.deferred_ += aShare.deferred_;
@@ -214,7 +214,7 @@
       aShare.id_, EndpointShare{ .id_ = aShare.id_, .silent_ = silent });
     EndpointShare& share = sum->second;
     share.running_ += aShare.running_;
-    share.tight_ += aShare.tight_;
+    share.tightGap_ += aShare.tightGap_;
     share.memoryTokens_ += aShare.memoryTokens_;
     share.backlog_ += RemainingBacklog(aShare.backlog_, aAge);
     share.deferred_ += aShare.deferred_;
@@ -238,7 +238,7 @@
   return all;
 }
 
-std::optional<std::chrono::milliseconds> FleetLoad::SilentToPeersFor(
+std::optional<std::chrono::milliseconds> FleetLoad::ShortestPeerSilence(
   const std::string& aEndpoint,
   TimePoint aNow) const
 {
--- a/src/core/routing/gooseberrylift-fleet-order.cc
+++ b/src/core/routing/gooseberrylift-fleet-order.cc
@@ -42,8 +42,9 @@
   return aEndpoints;
 }
 
-std::vector<ListedEndpoint> OrderByDraw(std::vector<ListedEndpoint> aEndpoints,
-                                        std::uint64_t aRandom)
+std::vector<ListedEndpoint> ShuffleEndpoints(
+  std::vector<ListedEndpoint> aEndpoints,
+  std::uint64_t aRandom)
 {
   SortByHash(aEndpoints.begin(), aEndpoints.end(), aRandom);
   return aEndpoints;
