--- a/src/core/routing/gooseberrylift-fleet-placement.cc
+++ b/src/core/routing/gooseberrylift-fleet-placement.cc
@@ -57,9 +57,9 @@
 // A request to be placed, with the values derived from it.
 struct EnginePlacement::Task
 {
-  const EngineFigures& profile_;
+  const EngineProfile& profile_;
   const PlacementRequest& request_;
-  microseconds read_; // prefill time on one engine
+  microseconds prefill_; // prefill time on one engine
   microseconds shortestGap_;
   microseconds nextGap_;
   bool isLong_;
@@ -74,7 +74,7 @@
   bool hasSpare_ = false;      // spare engines extend the short lane
 };
 
-microseconds EnginePlacement::PredictWait(const EngineFigures& aProfile,
+microseconds EnginePlacement::PredictWait(const EngineProfile& aProfile,
                                           const EndpointLoad& aLoad,
                                           int aQueuedAhead)
 {
@@ -88,8 +88,8 @@
   }
   const int excess = aQueuedAhead - aProfile.slots_ + 1;
   if (excess > 0) {
-    const double passes = static_cast<double>(aProfile.usualAnswerTokens_) /
-                          std::max(aProfile.stride_, 1);
+    const double passes = static_cast<double>(aProfile.typicalAnswerTokens_) /
+                          std::max(aProfile.stepsPerPass_, 1);
     // Assumes that the ends of running requests are spread evenly over the
     // duration of one request.
     wait += Scaled(pass, passes * excess / std::max(aProfile.slots_, 1));
@@ -107,11 +107,12 @@
     aTask.profile_.PassTime(aLoad.running_, aLoad.memoryTokens_) + aPrefill;
   microseconds penalty(0);
   if (pass > aTask.shortestGap_) {
-    penalty += duration_cast<microseconds>(options_.harm_) * aLoad.tight_;
+    penalty +=
+      duration_cast<microseconds>(options_.tightGapPenalty_) * aLoad.tightGap_;
   }
   if (pass + aLoad.backlog_ > aTask.nextGap_) {
-    penalty += duration_cast<microseconds>(options_.harmOther_) *
-               (aLoad.running_ - aLoad.tight_);
+    penalty += duration_cast<microseconds>(options_.otherGapPenalty_) *
+               (aLoad.running_ - aLoad.tightGap_);
   }
   return penalty;
 }
@@ -132,24 +133,24 @@
 }
 
 std::optional<PlacementChoice> EnginePlacement::Choose(
-  const EngineFigures& aProfile,
+  const EngineProfile& aProfile,
   const ServiceGaps& aGaps,
   const std::vector<PlacementCandidate>& aCandidates,
   const PlacementRequest& aRequest) const
 {
-  const microseconds read = aProfile.ReadTime(aRequest.promptTokens_);
+  const microseconds read = aProfile.PrefillTime(aRequest.promptTokens_);
   const auto gap = duration_cast<microseconds>(aGaps.shortest_);
   const Task task{ .profile_ = aProfile,
                    .request_ = aRequest,
-                   .read_ = read,
+                   .prefill_ = read,
                    .shortestGap_ = gap,
                    .nextGap_ = duration_cast<microseconds>(aGaps.next_),
-                   .isLong_ = read > Scaled(gap, options_.longRead_),
+                   .isLong_ = read > Scaled(gap, options_.longPrefillShare_),
                    .totalTokens_ =
                      aRequest.promptTokens_ + aRequest.answerTokens_ };
   std::vector<const PlacementCandidate*> candidates =
     PreferredCandidates(aCandidates);
-  std::size_t maxEngines = static_cast<std::size_t>(options_.mostEngines_);
+  std::size_t maxEngines = static_cast<std::size_t>(options_.maxEngines_);
   if (task.isLong_) {
     const auto unlimited = WithoutLimited(candidates);
     if (unlimited.empty()) {
@@ -169,12 +170,12 @@
     choice = ChooseLong(task, candidates, {}, maxEngines);
   }
   if (choice) {
-    choice->cost_.tight_ =
+    choice->cost_.tightGap_ =
       aRequest.maxGap_.count() > 0 && aRequest.maxGap_ <= aGaps.shortest_;
     choice->helperCost_.isHelper_ = true;
-    choice->helperCost_.memoryTokens_ = choice->heldTokens_;
+    choice->helperCost_.memoryTokens_ = choice->reservedTokens_;
     choice->cost_.memoryTokens_ =
-      task.totalTokens_ - choice->heldTokens_ * choice->helpers_.size();
+      task.totalTokens_ - choice->reservedTokens_ * choice->helpers_.size();
   }
   return choice;
 }
@@ -184,7 +185,7 @@
   const std::vector<const PlacementCandidate*>& aCandidates) const
 {
   const std::size_t all = aCandidates.size();
-  if (aTask.request_.blind_) {
+  if (aTask.request_.peerLoadUnknown_) {
     const double part =
       static_cast<double>(all) * options_.unknownLoadLaneShare_;
     return { .shortCount_ =
@@ -194,21 +195,22 @@
   std::size_t longEngines = 0; // engines used by long prompts
   for (const PlacementCandidate* candidate : aCandidates) {
     const EndpointLoad& load = candidate->load_;
-    tight += load.tight_;
+    tight += load.tightGap_;
     longEngines +=
-      load.running_ > load.tight_ || load.backlog_.count() > 0 ? 1 : 0;
+      load.running_ > load.tightGap_ || load.backlog_.count() > 0 ? 1 : 0;
   }
-  const double perEngine = aTask.profile_.slots_ * options_.comfortable_;
+  const double perEngine = aTask.profile_.slots_ * options_.targetOccupancy_;
   const auto needed = static_cast<std::size_t>(
-    std::ceil((tight + options_.laneSpare_) / std::max(perEngine, 1.0)));
+    std::ceil((tight + options_.laneHeadroom_) / std::max(perEngine, 1.0)));
   const auto reserved = static_cast<std::size_t>(
-    std::ceil(static_cast<double>(all) * options_.keptForLong_));
-  const auto oneLong = static_cast<std::size_t>(options_.mostEngines_);
+    std::ceil(static_cast<double>(all) * options_.reservedForLongShare_));
+  const auto oneLong = static_cast<std::size_t>(options_.maxEngines_);
   const double used =
     static_cast<double>(needed + std::max(longEngines, oneLong)) *
-    options_.spareBeyond_;
+    options_.spareThresholdFactor_;
   const double spare = std::max(static_cast<double>(all) - used, 0.0);
-  const auto extra = static_cast<std::size_t>(spare * options_.spareForShort_);
+  const auto extra =
+    static_cast<std::size_t>(spare * options_.spareForShortShare_);
   const std::size_t most =
     std::max<std::size_t>(all - std::min(reserved, all), 1);
   return { .shortCount_ = std::clamp<std::size_t>(needed + extra, 1, most),
@@ -227,14 +229,15 @@
   const std::vector<const PlacementCandidate*>& aCandidates,
   std::size_t aLaneSize) const
 {
-  const EngineFigures& profile = aTask.profile_;
+  const EngineProfile& profile = aTask.profile_;
   const auto objective = duration_cast<microseconds>(aTask.request_.objective_);
-  const microseconds acceptableWait = Scaled(objective, options_.waitShare_);
+  const microseconds acceptableWait =
+    Scaled(objective, options_.acceptableWaitShare_);
   std::vector<ShortCandidate> shortCandidates;
   microseconds bestFirst = microseconds::max();
   // Without the load of other hosts, all hosts would start at the first engine.
   const std::size_t start =
-    aTask.request_.blind_ ? aTask.request_.draw_ % aLaneSize : 0;
+    aTask.request_.peerLoadUnknown_ ? aTask.request_.draw_ % aLaneSize : 0;
   for (std::size_t number = 0; number < aCandidates.size(); ++number) {
     const std::size_t index =
       number < aLaneSize ? (start + number) % aLaneSize : number;
@@ -243,11 +246,11 @@
       continue;
     }
     if (index >= aLaneSize && !shortCandidates.empty() &&
-        bestFirst - aTask.read_ <= acceptableWait) {
+        bestFirst - aTask.prefill_ <= acceptableWait) {
       break; // an engine of the lane is fast enough
     }
     const microseconds first =
-      PredictWait(profile, load, CountNotDeferred(load)) + aTask.read_ +
+      PredictWait(profile, load, CountNotDeferred(load)) + aTask.prefill_ +
       profile.PassTime(load.running_ + 1, load.memoryTokens_);
     shortCandidates.push_back(
       { .candidate_ = aCandidates[index], .first_ = first });
@@ -256,8 +259,8 @@
   if (shortCandidates.empty()) {
     return std::nullopt;
   }
-  const microseconds tieMargin = Scaled(objective, options_.alikeShare_);
-  const double targetRequests = profile.slots_ * options_.comfortable_;
+  const microseconds tieMargin = Scaled(objective, options_.tieMarginShare_);
+  const double targetRequests = profile.slots_ * options_.targetOccupancy_;
   std::erase_if(shortCandidates, [&](const ShortCandidate& aShort) {
     const bool pastTarget = aShort.candidate_->load_.running_ > targetRequests;
     return aShort.first_ >
@@ -285,7 +288,7 @@
   return PlacementChoice{ .endpoint_ = best->endpoint_,
                           .firstAnswer_ = bestFirst,
                           .deferred_ = late,
-                          .cost_ = { .read_ = aTask.read_,
+                          .cost_ = { .prefill_ = aTask.prefill_,
                                      .deferred_ = late } };
 }
 
@@ -308,7 +311,7 @@
                                       std::size_t aPrefillEngines) const
 {
   const microseconds part =
-    aTask.read_ / static_cast<std::int64_t>(aPrefillEngines);
+    aTask.prefill_ / static_cast<std::int64_t>(aPrefillEngines);
   std::vector<RankedEngine> ranked;
   ranked.reserve(aEngines.size());
   for (const RankedEngine& engine : aEngines) {
@@ -350,7 +353,7 @@
   for (const PlacementCandidate* candidate : aCandidates) {
     const EndpointLoad& load = candidate->load_;
     const bool eligible =
-      load.running_ > 0 && load.tight_ == 0 &&
+      load.running_ > 0 && load.tightGap_ == 0 &&
       load.running_ < aTask.profile_.slots_ && HasMemory(aTask, load, 1) &&
       DelayPenalty(aTask, load, aPart).count() == 0 &&
       PredictWait(aTask.profile_, load, CountNotDeferred(load)) <=
@@ -386,7 +389,7 @@
   const LaneSplit& aLanes,
   std::size_t aMaxEngines) const
 {
-  const EngineFigures& profile = aTask.profile_;
+  const EngineProfile& profile = aTask.profile_;
   std::vector<const PlacementCandidate*> candidates(
     aCandidates.begin() +
       static_cast<std::ptrdiff_t>(
@@ -395,10 +398,10 @@
   const std::size_t maxEngines = std::min(aMaxEngines, candidates.size());
   const microseconds target =
     Scaled(duration_cast<microseconds>(aTask.request_.objective_),
-           options_.readShare_);
+           options_.prefillTargetShare_);
   const microseconds missThreshold =
     Scaled(duration_cast<microseconds>(aTask.request_.objective_),
-           options_.usefulShare_);
+           options_.missThresholdShare_);
   const bool fitsOneEngine = std::any_of(
     candidates.begin(), candidates.end(), [&](const auto* aCandidate) {
       return HasMemory(aTask, aCandidate->load_, 1);
@@ -432,10 +435,10 @@
       penalty += one.penalty_;
     }
     const microseconds first =
-      wait + aTask.read_ / static_cast<std::int64_t>(engines);
+      wait + aTask.prefill_ / static_cast<std::int64_t>(engines);
     microseconds value = first + penalty;
     if (first > missThreshold) {
-      value += duration_cast<microseconds>(options_.missed_);
+      value += duration_cast<microseconds>(options_.missedObjectivePenalty_);
     }
     if (value < bestValue) {
       best = std::move(ranked);
@@ -449,14 +452,14 @@
     return std::nullopt;
   }
   const microseconds part =
-    aTask.read_ / static_cast<std::int64_t>(best.size());
+    aTask.prefill_ / static_cast<std::int64_t>(best.size());
   if (fitsOneEngine) {
     PreferDecodingEngine(aTask, candidates, part, best);
   }
   const EndpointLoad& load = best.front().candidate_->load_;
   PlacementChoice choice{ .endpoint_ = best.front().candidate_->endpoint_,
-                          .cost_ = { .read_ = part },
-                          .helperCost_ = { .read_ = part } };
+                          .cost_ = { .prefill_ = part },
+                          .helperCost_ = { .prefill_ = part } };
   microseconds wait(0);
   microseconds penalty(0);
   for (const RankedEngine& one : best) {
@@ -467,10 +470,11 @@
     }
   }
   if (!fitsOneEngine) {
-    choice.heldTokens_ = (aTask.totalTokens_ + best.size() - 1) / best.size();
+    choice.reservedTokens_ =
+      (aTask.totalTokens_ + best.size() - 1) / best.size();
   }
   choice.long_ = true;
-  choice.wait_ = wait + Scaled(penalty, options_.heldHarm_);
+  choice.wait_ = wait + Scaled(penalty, options_.waitPenaltyShare_);
   choice.firstAnswer_ =
     wait + part + profile.PassTime(load.running_ + 1, load.memoryTokens_);
   return choice;
--- a/src/core/routing/gooseberrylift-endpoint-trust.cc
+++ b/src/core/routing/gooseberrylift-outlier-detector.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/routing/gooseberrylift-endpoint-trust.h"
+#include "gooseberrylift/routing/gooseberrylift-outlier-detector.h"
 
 #include <algorithm>
 
@@ -18,9 +18,9 @@
 
 } // namespace
 
-void EndpointTrust::OnOutcome(const std::string& aEndpoint,
-                              EndpointOutcome aOutcome,
-                              TimePoint aNow)
+void OutlierDetector::OnOutcome(const std::string& aEndpoint,
+                                EndpointOutcome aOutcome,
+                                TimePoint aNow)
 {
   Record& record = records_[aEndpoint];
   record.lastOutcome_ = aNow;
@@ -47,14 +47,14 @@
   }
 }
 
-bool EndpointTrust::IsSetAside(const std::string& aEndpoint,
-                               TimePoint aNow) const
+bool OutlierDetector::IsEjected(const std::string& aEndpoint,
+                                TimePoint aNow) const
 {
   const auto found = records_.find(aEndpoint);
   return found != records_.end() && aNow < found->second.ejectedUntil_;
 }
 
-void EndpointTrust::Sweep(TimePoint aNow)
+void OutlierDetector::Sweep(TimePoint aNow)
 {
   std::erase_if(records_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.lastOutcome_ > kRecordExpiry;
--- a/src/core/routing/gooseberrylift-fleet-view.cc
+++ b/src/core/routing/gooseberrylift-peer-visibility.cc
@@ -1,8 +1,8 @@
-#include "gooseberrylift/routing/gooseberrylift-fleet-view.h"
+#include "gooseberrylift/routing/gooseberrylift-peer-visibility.h"
 
 namespace gooseberrylift {
 
-bool FleetView::IsBlind(TimePoint aNow) const
+bool PeerVisibility::IsPeerLoadUnknown(TimePoint aNow) const
 {
   const bool hasRecentMessage =
     lastMessage_ != TimePoint{} && aNow - lastMessage_ < options_.peerTimeout_;
--- a/src/core/routing/gooseberrylift-urgency.cc
+++ b/src/core/routing/gooseberrylift-priority-class.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/routing/gooseberrylift-urgency.h"
+#include "gooseberrylift/routing/gooseberrylift-priority-class.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-int UrgencyOf(int aPriority, bool aDeferred)
+int PriorityClassOf(int aPriority, bool aDeferred)
 {
   const int priorityClass = std::clamp(aPriority, 0, kClassesPerHalf - 1);
   return aDeferred ? priorityClass + kClassesPerHalf : priorityClass;
--- a/src/core/routing/gooseberrylift-service-placement.cc
+++ b/src/core/routing/gooseberrylift-service-placement.cc
@@ -18,7 +18,7 @@
   std::vector<const PlacementCandidate*> best;
   int bestRank = 0;
   for (const PlacementCandidate& candidate : aCandidates) {
-    const int rank = candidate.tried_ ? 1 : (candidate.setAside_ ? 2 : 3);
+    const int rank = candidate.tried_ ? 1 : (candidate.avoided_ ? 2 : 3);
     if (rank > bestRank) {
       best.clear();
       bestRank = rank;
@@ -57,7 +57,7 @@
   return PlacementChoice{
     .endpoint_ = best->endpoint_,
     .firstAnswer_ = aTypicalTime + Scaled(aTypicalTime, 1.0 * excess / slots),
-    .cost_ = { .read_ = aTypicalTime }
+    .cost_ = { .prefill_ = aTypicalTime }
   };
 }
 
--- a/src/core/streams/gooseberrylift-event-splitter.cc
+++ b/src/core/streams/gooseberrylift-event-splitter.cc
@@ -60,10 +60,10 @@
     return Verdict::kPass;
   }
   if (last_ && *aEvent.id_ <= *last_) {
-    return Verdict::kRepeated;
+    return Verdict::kDuplicate;
   }
   if (last_ && *aEvent.id_ != *last_ + 1) {
-    return Verdict::kBroken;
+    return Verdict::kGap;
   }
   last_ = aEvent.id_;
   return Verdict::kPass;
--- a/src/front/gooseberrylift-config-admin.cc
+++ b/src/front/gooseberrylift-config-admin.cc
@@ -203,7 +203,7 @@
   StoreObject object = main.value();
   const auto stored = StoredConfiguration::FromSpec(object.spec_);
   const ConfigProposal proposal{ .base_ = aBase,
-                                 .highestKnown_ = HighestKnown() };
+                                 .highestInForce_ = HighestKnown() };
   const auto generation = NextGeneration(stored, proposal);
   if (!generation) {
     co_return co_await Conflict(aBase, deadline);
@@ -220,7 +220,7 @@
                        .author_ = std::move(aAuthor),
                        .atMs_ = WallMilliseconds() };
   object.spec_ =
-    WithChange(stored, std::move(configuration), std::move(change)).ToSpec();
+    AppendChange(stored, std::move(configuration), std::move(change)).ToSpec();
   const auto written = co_await Write(std::move(object), nonce, deadline);
   if (!written && written.error().code_ == ResultCode::kStoreConflict) {
     co_return co_await Conflict(aBase, deadline);
@@ -329,12 +329,12 @@
 asio::awaitable<void> ConfigAdmin::DropOldest(std::uint64_t aGeneration,
                                               TimePoint aDeadline)
 {
-  if (aGeneration <= StoredConfiguration::kRecent) {
+  if (aGeneration <= StoredConfiguration::kMaxRecentChanges) {
     co_return;
   }
   (void)co_await store_.Delete(
     kHistoryKind,
-    HistoryName(aGeneration - StoredConfiguration::kRecent),
+    HistoryName(aGeneration - StoredConfiguration::kMaxRecentChanges),
     {},
     CallDeadline(aDeadline));
 }
--- a/src/gateway/gooseberrylift-endpoint-limiter.cc
+++ b/src/gateway/gooseberrylift-endpoint-limiter.cc
@@ -63,7 +63,7 @@
 }
 
 void EndpointLimiter::OnAnswer(const Incarnation& aEndpoint,
-                               const RateNotice& aNotice,
+                               const AdvertisedRateLimit& aNotice,
                                TimePoint aSent)
 {
   std::optional<EndpointRate> changed;
@@ -149,7 +149,7 @@
       return limited;
     }
     for (const ListedEndpoint& candidate : aCandidates) {
-      const Incarnation life = candidate.Life();
+      const Incarnation life = candidate.IncarnationId();
       const auto rate = rates_.Find(life);
       if (!rate || !rate->perSecond_) {
         continue;
@@ -159,13 +159,13 @@
         continue;
       }
       limited.withheld_.insert(life.id_);
-      if (permits_.BeginAsking(life, now)) {
+      if (permits_.TryBeginRequest(life, now)) {
         asks.push_back(*rate);
       }
     }
   }
   for (EndpointRate& ask : asks) {
-    SpawnTask(parts_.executor_, Ask(std::move(ask)));
+    SpawnTask(parts_.executor_, RequestPermits(std::move(ask)));
   }
   for (const std::string& id : limited.withheld_) {
     parts_.metrics_.Count("gooseberrylift_limited_endpoint_withheld_total",
@@ -190,14 +190,15 @@
   return true;
 }
 
-milliseconds EndpointLimiter::OpensIn(
+milliseconds EndpointLimiter::TimeUntilPermit(
   const std::vector<ListedEndpoint>& aEndpoints)
 {
   const TimePoint now = TimerService::Now();
   auto soonest = milliseconds::max();
   const std::lock_guard lock(mutex_);
   for (const ListedEndpoint& endpoint : aEndpoints) {
-    soonest = std::min(soonest, permits_.OpensIn(endpoint.Life(), now));
+    soonest = std::min(soonest,
+                       permits_.TimeUntilPermit(endpoint.IncarnationId(), now));
   }
   return soonest;
 }
@@ -211,7 +212,7 @@
   for (const auto& [zone, members] : hosts_) {
     zones.push_back(zone);
   }
-  const auto found = hosts_.find(GranterOf(aEndpoint, zones));
+  const auto found = hosts_.find(ChooseGranter(aEndpoint, zones));
   if (found == hosts_.end()) {
     return {};
   }
@@ -225,14 +226,14 @@
   for (const PeerMember& member : members) {
     names.push_back(member.host_);
   }
-  const std::string first = GranterOf(aEndpoint, names);
+  const std::string first = ChooseGranter(aEndpoint, names);
   return *std::find_if(
     members.begin(), members.end(), [&first](const PeerMember& aMember) {
       return aMember.host_ == first;
     });
 }
 
-asio::awaitable<void> EndpointLimiter::Ask(EndpointRate aRate)
+asio::awaitable<void> EndpointLimiter::RequestPermits(EndpointRate aRate)
 {
   const Incarnation endpoint = aRate.endpoint_;
   Granter granter;
@@ -240,7 +241,7 @@
     const std::lock_guard lock(mutex_);
     granter = GranterFor(endpoint);
     if (granter.host_ == options_.host_) {
-      permits_.OnVerdict(endpoint, Grant(aRate), TimerService::Now());
+      permits_.OnGrant(endpoint, Grant(aRate), TimerService::Now());
       co_return;
     }
   }
@@ -252,7 +253,7 @@
     }
   }
   const std::lock_guard lock(mutex_);
-  permits_.OnUnanswered(endpoint, TimerService::Now());
+  permits_.OnRequestFailed(endpoint, TimerService::Now());
 }
 
 // Asks the granting host; one that does not grant names the one that does.
@@ -271,34 +272,36 @@
 
 void EndpointLimiter::TakeIn(const Incarnation& aEndpoint, const json& aAnswer)
 {
-  RateVerdict verdict;
+  RateGrant verdict;
   std::vector<EndpointRate> rates;
   try {
     rates = EndpointRatesFromJson(aAnswer.at(kRates));
     verdict.permits_ = aAnswer.value(kPermits, 0);
-    verdict.retryIn_ = milliseconds(aAnswer.at(kRetryMs).get<std::int64_t>());
+    verdict.retryAfter_ =
+      milliseconds(aAnswer.at(kRetryMs).get<std::int64_t>());
   } catch (const json::exception&) {
     // Also of a host that was named as the granting one and is none.
     const std::lock_guard lock(mutex_);
-    permits_.OnUnanswered(aEndpoint, TimerService::Now());
+    permits_.OnRequestFailed(aEndpoint, TimerService::Now());
     return;
   }
   {
     const std::lock_guard lock(mutex_);
-    permits_.OnVerdict(aEndpoint, verdict, TimerService::Now());
+    permits_.OnGrant(aEndpoint, verdict, TimerService::Now());
   }
   OnPeer(rates);
 }
 
 // With the mutex locked.
-RateVerdict EndpointLimiter::Grant(const EndpointRate& aRate)
+RateGrant EndpointLimiter::Grant(const EndpointRate& aRate)
 {
   const auto known = rates_.Find(aRate.endpoint_);
   const auto rate = known ? known->perSecond_ : aRate.perSecond_;
   if (!rate) {
     return {}; // its limit has ended, as the entry tells the asking host
   }
-  return granter_.Ask(aRate.endpoint_, *rate, granters_, TimerService::Now());
+  return granter_.RequestPermits(
+    aRate.endpoint_, *rate, granters_, TimerService::Now());
 }
 
 json EndpointLimiter::Answer(const json& aParams)
@@ -325,11 +328,11 @@
     answer[kGranterAddress] = granter.address_;
     return answer;
   }
-  const RateVerdict verdict = Grant(asked);
+  const RateGrant verdict = Grant(asked);
   answer[kRates] =
     EndpointRatesToJson({ rates_.Find(asked.endpoint_).value_or(asked) });
   answer[kPermits] = verdict.permits_;
-  answer[kRetryMs] = verdict.retryIn_.count();
+  answer[kRetryMs] = verdict.retryAfter_.count();
   return answer;
 }
 
--- a/src/gateway/gooseberrylift-fleet.cc
+++ b/src/gateway/gooseberrylift-fleet.cc
@@ -29,13 +29,13 @@
 {
   std::mutex mutex_;
   FleetLoad load_{ FleetLoad::Options{} };
-  EndpointTrust trust_{ EndpointTrust::Options{} };
+  OutlierDetector trust_{ OutlierDetector::Options{} };
   microseconds usual_ = kFirstGuess;
 };
 
 Fleet::Fleet(Options aOptions)
   : options_(std::move(aOptions))
-  , view_(FleetView::Options{}, TimerService::Now())
+  , view_(PeerVisibility::Options{}, TimerService::Now())
   , directory_(EndpointDirectory::Options{})
 {
 }
@@ -71,14 +71,14 @@
 {
   Log(LogEvent::kEndpointReborn,
       { { "endpoint", aReborn.id_ },
-        { "born_ms", aReborn.born_.time_since_epoch().count() } });
+        { "born_ms", aReborn.startTime_.time_since_epoch().count() } });
   if (options_.onReborn_) {
     options_.onReborn_(aReborn.id_);
   }
   Shard& shard = ShardOf(aReborn.service_);
   const std::lock_guard lock(shard.mutex_);
-  shard.load_.OnReborn(aReborn.id_);
-  shard.trust_.OnReborn(aReborn.id_);
+  shard.load_.OnRestarted(aReborn.id_);
+  shard.trust_.OnRestarted(aReborn.id_);
 }
 
 // What peers have in work counts from the first word on. Kept only from this
@@ -111,7 +111,7 @@
   if (!aQuery.figures_) {
     // Hosts with equal views would all take the first.
     return std::make_shared<std::vector<ListedEndpoint>>(
-      OrderByDraw(Usable(aQuery.service_), aQuery.draw_));
+      ShuffleEndpoints(Usable(aQuery.service_), aQuery.draw_));
   }
   Order& order = orders_[aQuery.service_];
   if (!order.endpoints_ || order.changes_ != directory_.Changes()) {
@@ -124,7 +124,7 @@
 
 std::optional<FleetPlacement> Fleet::Place(FleetQuery aQuery)
 {
-  aQuery.request_.blind_ = IsBlind();
+  aQuery.request_.peerLoadUnknown_ = IsPeerLoadUnknown();
   aQuery.request_.draw_ = aQuery.draw_;
   const Endpoints ordered = Ordered(aQuery);
   const std::vector<ListedEndpoint>& endpoints = *ordered;
@@ -139,13 +139,12 @@
     if (limited.withheld_.contains(id)) {
       continue;
     }
-    candidates.push_back(
-      { .endpoint_ = &endpoint,
-        .load_ = shard.load_.Of(id, now),
-        .setAside_ = shard.trust_.IsSetAside(id, now) ||
-                     shard.load_.SilentFor(id, now) > kSilent,
-        .tried_ = aQuery.tried_.contains(id),
-        .limited_ = limited.permitted_.contains(id) });
+    candidates.push_back({ .endpoint_ = &endpoint,
+                           .load_ = shard.load_.Of(id, now),
+                           .avoided_ = shard.trust_.IsEjected(id, now) ||
+                                       shard.load_.SilentFor(id, now) > kSilent,
+                           .tried_ = aQuery.tried_.contains(id),
+                           .limited_ = limited.permitted_.contains(id) });
   }
   std::optional<PlacementChoice> choice;
   if (aQuery.figures_) {
@@ -160,12 +159,12 @@
     return std::nullopt;
   }
   FleetPlacement placed{ .endpoint_ = *choice->endpoint_,
-                         .heldTokens_ = choice->heldTokens_,
+                         .reservedTokens_ = choice->reservedTokens_,
                          .firstAnswer_ = choice->firstAnswer_,
                          .wait_ = choice->wait_,
                          .long_ = choice->long_,
                          .deferred_ = choice->deferred_,
-                         .blind_ = aQuery.request_.blind_,
+                         .peerLoadUnknown_ = aQuery.request_.peerLoadUnknown_,
                          .load_ = shard.load_.Of(choice->endpoint_->id_, now),
                          .candidates_ = candidates.size(),
                          .withheld_ = limited.withheld_.size(),
@@ -180,10 +179,10 @@
 bool Fleet::Claim(const FleetPlacement& aPlacement)
 {
   // Helpers are never limited ones.
-  return options_.limiter_.Take(aPlacement.endpoint_.Life());
+  return options_.limiter_.Take(aPlacement.endpoint_.IncarnationId());
 }
 
-std::optional<milliseconds> Fleet::OpensIn(const std::string& aService)
+std::optional<milliseconds> Fleet::TimeUntilPermit(const std::string& aService)
 {
   std::vector<ListedEndpoint> usable;
   {
@@ -194,22 +193,22 @@
     !usable.empty() &&
     std::all_of(
       usable.begin(), usable.end(), [this](const ListedEndpoint& aListed) {
-        return options_.limiter_.Of(aListed.Life()).has_value();
+        return options_.limiter_.Of(aListed.IncarnationId()).has_value();
       });
-  return limited ? std::optional(options_.limiter_.OpensIn(usable))
+  return limited ? std::optional(options_.limiter_.TimeUntilPermit(usable))
                  : std::nullopt;
 }
 
-bool Fleet::IsBlind()
+bool Fleet::IsPeerLoadUnknown()
 {
   const std::lock_guard lock(peersMutex_);
-  return view_.IsBlind(TimerService::Now());
+  return view_.IsPeerLoadUnknown(TimerService::Now());
 }
 
 void Fleet::OnPeersHeard()
 {
   const std::lock_guard lock(peersMutex_);
-  view_.OnWord(TimerService::Now());
+  view_.OnLoadMessage(TimerService::Now());
 }
 
 void Fleet::OnPeersKnown(std::size_t aPeers)
@@ -222,7 +221,7 @@
 {
   const std::lock_guard lock(directoryMutex_);
   const ListedEndpoint* listed = directory_.Find(aEndpoint.id_);
-  return listed != nullptr && listed->Life() == aEndpoint;
+  return listed != nullptr && listed->IncarnationId() == aEndpoint;
 }
 
 std::size_t Fleet::CountUsable(const std::string& aService)
@@ -242,26 +241,26 @@
     });
 }
 
-void Fleet::OnWord(const LoadWord& aWord)
+void Fleet::OnLoadMessage(const LoadMessage& aWord)
 {
   const TimePoint now = TimerService::Now();
   {
     const std::lock_guard lock(peersMutex_);
     // Words of a zone overtake each other apart from their host's own.
     PeerWords& known = peerWords_[aWord.zone_ + "/" + aWord.host_];
-    const bool takes = aWord.part_ == LoadWordPart::kMore
+    const bool takes = aWord.kind_ == LoadMessageKind::kSnapshotContinued
                          ? aWord.sequence_ == known.whole_
                          : aWord.sequence_ > known.word_;
     if (!takes) {
       return; // datagrams may overtake each other
     }
     known.word_ = std::max(known.word_, aWord.sequence_);
-    if (aWord.part_ == LoadWordPart::kFirst) {
+    if (aWord.kind_ == LoadMessageKind::kSnapshot) {
       known.whole_ = aWord.sequence_;
     }
-    view_.OnWord(now);
-    if (!aWord.zone_.empty() &&
-        (aWord.zone_ == options_.zone_ || !zoneSources_.Accepts(aWord, now))) {
+    view_.OnLoadMessage(now);
+    if (!aWord.zone_.empty() && (aWord.zone_ == options_.zone_ ||
+                                 !zoneMessageFilter_.Accepts(aWord, now))) {
       return;
     }
   }
@@ -274,17 +273,17 @@
     const std::lock_guard shardLock(shard->mutex_);
     FleetLoad& load = shard->load_;
     std::vector<EndpointShare>& shares = byService[service];
-    switch (aWord.part_) {
-      case LoadWordPart::kFirst:
+    switch (aWord.kind_) {
+      case LoadMessageKind::kSnapshot:
         // Also of a service of which the peer said nothing: it has no work
         // there any more.
-        load.OnPeer(peer, std::move(shares), now);
+        load.OnPeerSnapshot(peer, std::move(shares), now);
         break;
-      case LoadWordPart::kMore:
-        load.OnMoreOfPeer(peer, std::move(shares));
+      case LoadMessageKind::kSnapshotContinued:
+        load.OnPeerSnapshotContinued(peer, std::move(shares));
         break;
-      case LoadWordPart::kChange:
-        load.OnChangeOfPeer(peer, std::move(shares), now);
+      case LoadMessageKind::kDelta:
+        load.OnPeerDelta(peer, std::move(shares), now);
         break;
     }
   }
@@ -398,16 +397,16 @@
   }
 }
 
-EndpointSigns Fleet::Use::Signs() const
+EndpointActivity Fleet::Use::Signs() const
 {
   const TimePoint now = TimerService::Now();
   Shard& shard = fleet_.ShardOf(service_);
   const std::lock_guard lock(shard.mutex_);
   const std::string& endpoint = placement_.endpoint_.id_;
   const EndpointLoad load = shard.load_.Of(endpoint, now);
-  return { .silentHere_ = duration_cast<milliseconds>(now - heard_),
-           .silent_ = shard.load_.SilentFor(endpoint, now),
-           .silentToPeers_ = shard.load_.SilentToPeersFor(endpoint, now),
+  return { .requestSilence_ = duration_cast<milliseconds>(now - heard_),
+           .hostSilence_ = shard.load_.SilentFor(endpoint, now),
+           .peerSilence_ = shard.load_.ShortestPeerSilence(endpoint, now),
            .begun_ = begun_,
            .overtaken_ = shard.load_.IsOvertaken(endpoint, id_),
            .backlog_ = duration_cast<milliseconds>(load.backlog_),
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -86,8 +86,8 @@
     request.priority_ = team->priority_.value_or(request.priority_);
     request.keyed_ = true;
   }
-  request.fingerprint_ =
-    FingerprintOf(aRequest.target_, request.facts_.teamKey_, aRequest.body_);
+  request.fingerprint_ = RequestFingerprint(
+    aRequest.target_, request.facts_.teamKey_, aRequest.body_);
   request.service_ = RouteTable::ChooseService(*request.route_, Draw());
   const milliseconds patience =
     request.facts_.patience_.value_or(request.route_->timeout_);
--- a/src/gateway/gooseberrylift-request-answer.cc
+++ b/src/gateway/gooseberrylift-request-answer.cc
@@ -6,7 +6,7 @@
 
 #include "gooseberrylift-request-errors.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 
 namespace gooseberrylift {
 
@@ -35,7 +35,7 @@
 TimePoint RequestRun::SilentAt() const
 {
   return std::min(request_.deadline_,
-                  TimerService::Now() + SilenceLimit(*request_.route_));
+                  TimerService::Now() + EndpointStallTimeout(*request_.route_));
 }
 
 // Tells a silence that may be borne on from the request's deadline.
@@ -54,7 +54,8 @@
 // to it for too long, and pays for that.
 bool RequestRun::LeavesSilent(const Fleet::Use& aUse)
 {
-  return LooksHung(aUse.Signs(), SilenceLimit(*request_.route_)) &&
+  return IsRequestStalled(aUse.Signs(),
+                          EndpointStallTimeout(*request_.route_)) &&
          MayLeave() && PayRepeat();
 }
 
@@ -84,10 +85,11 @@
 // of this one, and one that nobody signed may not end a limit.
 void RequestRun::NoteRate(const EndpointFacts& aFacts, const Fleet::Use& aUse)
 {
-  const bool isNamed = aFacts.rate_.kind_ == RateNotice::Kind::kNamed;
+  const bool isNamed =
+    aFacts.rate_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
   if (!aFacts.replaced_ && (isNamed || aFacts.genuine_)) {
     parts_.limiter_.OnAnswer(
-      aUse.Placement().endpoint_.Life(), aFacts.rate_, aUse.SentAt());
+      aUse.Placement().endpoint_.IncarnationId(), aFacts.rate_, aUse.SentAt());
   }
 }
 
@@ -256,9 +258,9 @@
       case EventSequence::Verdict::kPass:
         events += event->bytes_;
         break;
-      case EventSequence::Verdict::kRepeated:
+      case EventSequence::Verdict::kDuplicate:
         break;
-      case EventSequence::Verdict::kBroken:
+      case EventSequence::Verdict::kGap:
         return Broken("an event of the stream is missing");
     }
   }
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -5,9 +5,9 @@
 #include "gooseberrylift-request-errors.h"
 #include "gooseberrylift/internal/gooseberrylift-log.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
 #include "gooseberrylift/limits/gooseberrylift-route-admission.h"
-#include "gooseberrylift/routing/gooseberrylift-urgency.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
+#include "gooseberrylift/routing/gooseberrylift-priority-class.h"
 
 namespace gooseberrylift {
 
@@ -98,13 +98,13 @@
       attempts_.OnRefused(NoEndpoint());
       break;
     }
-    const HoldVerdict verdict = JudgeHold(*placement);
-    if (verdict == HoldVerdict::kHold) {
-      co_await TimerService::SleepFor(HoldOptions{}.step_);
+    const HoldDecision verdict = JudgeHold(*placement);
+    if (verdict == HoldDecision::kHold) {
+      co_await TimerService::SleepFor(HoldOptions{}.recheckInterval_);
       continue;
     }
-    if (verdict == HoldVerdict::kGiveUp) {
-      attempts_.OnRefused(Refusal(*placement, LatestReturnOf(RemainingTime())));
+    if (verdict == HoldDecision::kReject) {
+      attempts_.OnRefused(Refusal(*placement, MaxRetryDelay(RemainingTime())));
       break;
     }
     if (const auto refusal = Admit(*placement)) {
@@ -132,7 +132,7 @@
   if (kept_) {
     co_return co_await SendKept();
   }
-  co_return attempts_.Final();
+  co_return attempts_.FinalError();
 }
 
 // Looked at again before each send: a host that was paused meanwhile must not
@@ -155,7 +155,7 @@
   return std::nullopt;
 }
 
-const EngineFigures* RequestRun::Figures() const
+const EngineProfile* RequestRun::Figures() const
 {
   const RoutedService* service =
     request_.table_->ServiceByName(request_.service_);
@@ -190,8 +190,8 @@
                      .team_ = request_.team_,
                      .hidesKey_ = request_.table_->NeedsKeys(),
                      .remaining_ = RemainingTime(),
-                     .urgency_ =
-                       UrgencyOf(request_.priority_, aPlacement.deferred_) };
+                     .urgency_ = PriorityClassOf(request_.priority_,
+                                                 aPlacement.deferred_) };
   if (events_.Last()) {
     send.lastEventId_ = events_.Last();
   }
@@ -207,20 +207,20 @@
 asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> RequestRun::TakeMemory(
   const FleetPlacement& aPlacement)
 {
-  if (aPlacement.heldTokens_ == 0) {
+  if (aPlacement.reservedTokens_ == 0) {
     co_return std::unique_ptr<MemoryHolds>();
   }
   MemoryHolds::Parts parts{ .client_ = parts_.client_,
                             .dialect_ = parts_.dialect_,
                             .executor_ = parts_.executor_ };
   MemoryHolds::Options options;
-  options.holdFor_ = std::min(
-    options.holdFor_, parts_.board_.bounds_.Read()->bounds_.longestHold_);
+  options.holdFor_ =
+    std::min(options.holdFor_, parts_.board_.bounds_.Read()->bounds_.maxHold_);
   co_return co_await MemoryHolds::Take(std::move(parts),
                                        request_.facts_.attemptId_ + "-" +
                                          std::to_string(sends_),
                                        aPlacement.helpers_,
-                                       aPlacement.heldTokens_,
+                                       aPlacement.reservedTokens_,
                                        options);
 }
 
@@ -279,7 +279,7 @@
 {
   std::vector<ListedEndpoint> endpoints = aPlacement.helpers_;
   endpoints.push_back(aPlacement.endpoint_);
-  parts_.words_.OnPlaced(endpoints, aPlacement.cost_.read_ > kToldRead);
+  parts_.words_.OnPlaced(endpoints, aPlacement.cost_.prefill_ > kToldRead);
 }
 
 // Notes an endpoint that broke off after it had got the request. A silent one
@@ -288,7 +288,7 @@
                             const Error& aError)
 {
   if (aError.code_ == ResultCode::kEndpointBroken) {
-    parts_.suspects_.OnBroken(request_.fingerprint_, aEndpoint);
+    parts_.suspects_.OnConnectionLost(request_.fingerprint_, aEndpoint);
   }
 }
 
@@ -332,7 +332,7 @@
 bool RequestRun::PayRepeat()
 {
   const std::lock_guard lock(parts_.repeats_.mutex_);
-  repeatPaid_ = parts_.repeats_.budget_.TryRepeat(
+  repeatPaid_ = parts_.repeats_.budget_.TryRetry(
     request_.service_, parts_.repeats_.hosts_, TimerService::Now());
   return repeatPaid_;
 }
@@ -357,31 +357,32 @@
 void RequestRun::LogPlaced(const FleetPlacement& aPlacement) const
 {
   const auto proof = parts_.routes_.ProofAge();
-  Log(LogEvent::kRequestPlaced,
-      { { "request_id", request_.facts_.attemptId_ },
-        { "route", request_.route_->name_ },
-        { "generation", request_.table_->Version() },
-        { "proof_age_ms", proof ? proof->count() : -1 },
-        { "endpoint", aPlacement.endpoint_.id_ },
-        { "helpers", IdsOf(aPlacement.helpers_) },
-        { "held_tokens", aPlacement.heldTokens_ },
-        { "prompt_tokens", request_.facts_.promptTokens_ },
-        { "candidates", aPlacement.candidates_ },
-        { "withheld", aPlacement.withheld_ },
-        { "limit_per_second",
-          parts_.limiter_.Of(aPlacement.endpoint_.Life()).value_or(-1) },
-        { "running", aPlacement.load_.running_ },
-        { "deferred", aPlacement.deferred_ },
-        { "deferred_there", aPlacement.load_.deferred_ },
-        { "blind", aPlacement.blind_ },
-        { "backlog_ms",
-          duration_cast<milliseconds>(aPlacement.load_.backlog_).count() },
-        { "predicted_ms",
-          duration_cast<milliseconds>(aPlacement.firstAnswer_).count() },
-        { "held_ms",
-          duration_cast<milliseconds>(TimerService::Now() - request_.arrived_)
-            .count() },
-        { "send", sends_ + 1 } });
+  Log(
+    LogEvent::kRequestPlaced,
+    { { "request_id", request_.facts_.attemptId_ },
+      { "route", request_.route_->name_ },
+      { "generation", request_.table_->Version() },
+      { "proof_age_ms", proof ? proof->count() : -1 },
+      { "endpoint", aPlacement.endpoint_.id_ },
+      { "helpers", IdsOf(aPlacement.helpers_) },
+      { "held_tokens", aPlacement.reservedTokens_ },
+      { "prompt_tokens", request_.facts_.promptTokens_ },
+      { "candidates", aPlacement.candidates_ },
+      { "withheld", aPlacement.withheld_ },
+      { "limit_per_second",
+        parts_.limiter_.Of(aPlacement.endpoint_.IncarnationId()).value_or(-1) },
+      { "running", aPlacement.load_.running_ },
+      { "deferred", aPlacement.deferred_ },
+      { "deferred_there", aPlacement.load_.deferred_ },
+      { "blind", aPlacement.peerLoadUnknown_ },
+      { "backlog_ms",
+        duration_cast<milliseconds>(aPlacement.load_.backlog_).count() },
+      { "predicted_ms",
+        duration_cast<milliseconds>(aPlacement.firstAnswer_).count() },
+      { "held_ms",
+        duration_cast<milliseconds>(TimerService::Now() - request_.arrived_)
+          .count() },
+      { "send", sends_ + 1 } });
 }
 
 void RequestRun::LogFailed(const FleetPlacement& aPlacement,
--- a/src/gateway/gooseberrylift-request-waiting.cc
+++ b/src/gateway/gooseberrylift-request-waiting.cc
@@ -8,8 +8,8 @@
 #include "gooseberrylift-request-errors.h"
 #include "gooseberrylift/internal/gooseberrylift-log.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
-#include "gooseberrylift/limits/gooseberrylift-patience.h"
 #include "gooseberrylift/limits/gooseberrylift-route-admission.h"
+#include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 
 namespace gooseberrylift {
 
@@ -30,30 +30,31 @@
 
 } // namespace
 
-HoldQuestion RequestRun::MakeHoldQuestion(const EngineFigures& aFigures,
-                                          microseconds aWait) const
+HoldInput RequestRun::MakeHoldInput(const EngineProfile& aFigures,
+                                    microseconds aWait) const
 {
   const TimePoint now = TimerService::Now();
   return { .wait_ = aWait,
-           .read_ = aFigures.ReadTime(request_.facts_.promptTokens_),
-           .waited_ = duration_cast<milliseconds>(now - request_.arrived_),
+           .prefill_ = aFigures.PrefillTime(request_.facts_.promptTokens_),
+           .sinceArrival_ =
+             duration_cast<milliseconds>(now - request_.arrived_),
            .remaining_ = RemainingTime(),
-           .patience_ = CallerPatience(*request_.route_),
+           .callerStallTimeout_ = CallerStallTimeout(*request_.route_),
            .objective_ = request_.route_->objective_ };
 }
 
 // Says whether a long prompt is kept here before its engines are looked at
 // again.
-HoldVerdict RequestRun::JudgeHold(const FleetPlacement& aPlacement) const
+HoldDecision RequestRun::JudgeHold(const FleetPlacement& aPlacement) const
 {
-  const EngineFigures* figures = Figures();
+  const EngineProfile* figures = Figures();
   if (!aPlacement.long_ || sends_ > 0 || figures == nullptr) {
-    return HoldVerdict::kSend;
+    return HoldDecision::kSend;
   }
-  HoldQuestion question = MakeHoldQuestion(*figures, aPlacement.wait_);
-  question.blind_ = aPlacement.blind_;
-  question.part_ = aPlacement.cost_.read_;
-  return HoldLong(question, HoldOptions{});
+  HoldInput question = MakeHoldInput(*figures, aPlacement.wait_);
+  question.peerLoadUnknown_ = aPlacement.peerLoadUnknown_;
+  question.partialPrefill_ = aPlacement.cost_.prefill_;
+  return DecideLongPromptHold(question, HoldOptions{});
 }
 
 // The same for a prompt for which no engines have room now. Memory is freed by
@@ -61,7 +62,7 @@
 // worth a while; one that could not is no better later.
 std::optional<milliseconds> RequestRun::WaitForRoom()
 {
-  const EngineFigures* figures = Figures();
+  const EngineProfile* figures = Figures();
   if (sends_ > 0 || figures == nullptr) {
     return std::nullopt;
   }
@@ -72,18 +73,19 @@
   if (needed > whole) {
     return std::nullopt;
   }
-  const HoldOptions options{ .latestShare_ = kRoomShare };
-  const HoldVerdict verdict =
-    HoldLong(MakeHoldQuestion(*figures, microseconds::max()), options);
-  return verdict == HoldVerdict::kHold ? std::optional(options.step_)
-                                       : std::nullopt;
+  const HoldOptions options{ .maxHoldShare_ = kRoomShare };
+  const HoldDecision verdict =
+    DecideLongPromptHold(MakeHoldInput(*figures, microseconds::max()), options);
+  return verdict == HoldDecision::kHold
+           ? std::optional(options.recheckInterval_)
+           : std::nullopt;
 }
 
 // Says how long to wait for the answer of the host that grants permits, where
 // all endpoints need one. It is there within a round trip, or not at all.
 std::optional<milliseconds> RequestRun::WaitForPermit()
 {
-  const auto opens = parts_.fleet_.OpensIn(request_.service_);
+  const auto opens = parts_.fleet_.TimeUntilPermit(request_.service_);
   const auto waited = TimerService::Now() - request_.arrived_;
   if (!opens || *opens > milliseconds(0) || waited > kPermitAnswer) {
     return std::nullopt;
@@ -94,13 +96,13 @@
 // Makes the refusal of a request for which there is no endpoint now.
 Error RequestRun::NoEndpoint()
 {
-  const auto opens = parts_.fleet_.OpensIn(request_.service_);
+  const auto opens = parts_.fleet_.TimeUntilPermit(request_.service_);
   Error none =
     MakeError(opens ? ResultCode::kEndpointsLimited : ResultCode::kNoEndpoint);
   none.retryAfter_ = RetrySoon();
   if (opens) {
     none.retryAfter_ = std::min(*none.retryAfter_ + std::max(*opens, {}),
-                                LatestReturnOf(RemainingTime()));
+                                MaxRetryDelay(RemainingTime()));
   }
   return none;
 }
@@ -111,14 +113,14 @@
     return std::nullopt; // its first try was admitted
   }
   const TimePoint now = TimerService::Now();
-  const AdmissionQuestion question{
+  const AdmissionInput question{
     .predicted_ = aPlacement.firstAnswer_,
     .remaining_ = RemainingTime(),
-    .patience_ = CallerPatience(*request_.route_),
+    .callerStallTimeout_ = CallerStallTimeout(*request_.route_),
     .held_ = duration_cast<milliseconds>(now - request_.arrived_),
     .draw_ = Draw()
   };
-  const auto wait = RefuseFor(question);
+  const auto wait = RetryDelayIfRefused(question);
   if (!wait) {
     return std::nullopt;
   }
@@ -142,7 +144,7 @@
           duration_cast<milliseconds>(aPlacement.firstAnswer_).count() },
         { "wait_ms", duration_cast<milliseconds>(aPlacement.wait_).count() },
         { "remaining_ms", RemainingTime().count() },
-        { "patience_ms", CallerPatience(*request_.route_).count() },
+        { "patience_ms", CallerStallTimeout(*request_.route_).count() },
         { "held_ms",
           duration_cast<milliseconds>(now - request_.arrived_).count() },
         { "candidates", aPlacement.candidates_ },
--- a/src/gateway/gooseberrylift-store-follower.cc
+++ b/src/gateway/gooseberrylift-store-follower.cc
@@ -38,19 +38,19 @@
 constexpr milliseconds kLongestNapUnproven{ 20 };
 
 // The revision up to which a list of any age is known to be complete.
-std::uint64_t NewestRevision(const std::vector<ViewedObject>& aObjects)
+std::uint64_t NewestRevision(const std::vector<CachedObject>& aObjects)
 {
   std::uint64_t revision = 0;
-  for (const ViewedObject& object : aObjects) {
+  for (const CachedObject& object : aObjects) {
     revision = std::max(revision, RevisionOf(object.version_));
   }
   return revision;
 }
 
-json ChangesToJson(const ViewChanges& aChanges)
+json ChangesToJson(const StoreDelta& aChanges)
 {
   json list = json::array();
-  for (const ViewedObject& object : aChanges.objects_) {
+  for (const CachedObject& object : aChanges.objects_) {
     list.push_back({ object.name_, object.version_, object.spec_ });
   }
   json answer = { { kRevision, aChanges.revision_ },
@@ -63,9 +63,9 @@
 }
 
 // Throws a json::exception when the answer is of another form.
-ViewChanges ChangesFromJson(const json& aAnswer)
+StoreDelta ChangesFromJson(const json& aAnswer)
 {
-  ViewChanges changes;
+  StoreDelta changes;
   changes.revision_ = aAnswer.at(kRevision);
   const auto objects = UnpackText(aAnswer.at(kChanges));
   for (const json& item : json::parse(objects.value_or(kNoText))) {
@@ -83,9 +83,9 @@
 
 // Takes the objects over: the route document of a large fleet is hundreds of
 // KB, and it is read each second.
-std::vector<ViewedObject> ViewedOf(std::vector<StoreObject> aObjects)
+std::vector<CachedObject> ViewedOf(std::vector<StoreObject> aObjects)
 {
-  std::vector<ViewedObject> viewed;
+  std::vector<CachedObject> viewed;
   viewed.reserve(aObjects.size());
   for (StoreObject& object : aObjects) {
     viewed.push_back({ .name_ = std::move(object.name_),
@@ -116,7 +116,7 @@
       co_await Read();
       continue;
     }
-    NoteReading(turn_.Reads(TimerService::Now()));
+    NoteReading(turn_.IsActiveReader(TimerService::Now()));
     const milliseconds longest = proof_ ? kLongestNap : kLongestNapUnproven;
     co_await TimerService::SleepFor(std::clamp(due, kShortestNap, longest));
   }
@@ -176,7 +176,7 @@
   if (read) {
     read = co_await ReadChanges();
   }
-  const bool wasLost = turn_.HasLostStore();
+  const bool wasLost = turn_.IsStoreUnavailable();
   if (read) {
     turn_.OnRead(TimerService::Now());
     NoteReading(true);
@@ -249,7 +249,7 @@
                                StoreView& aView,
                                StoreList aList)
 {
-  const ViewNews news =
+  const ViewUpdate news =
     aView.OnList(ViewedOf(std::move(aList.items_)), RevisionOf(aList.version_));
   Publish(aKind, news);
   if (!news.Empty()) {
@@ -257,7 +257,7 @@
   }
 }
 
-StoreHeadline StoreFollower::Headline() const
+StoreStatus StoreFollower::Headline() const
 {
   return { .routes_ = routes_.Revision(),
            .endpoints_ = endpoints_.Revision(),
@@ -266,7 +266,7 @@
 }
 
 void StoreFollower::OnHeadline(const PeerMember& aPeer,
-                               const StoreHeadline& aHeadline,
+                               const StoreStatus& aHeadline,
                                std::optional<BootTime> aAsked)
 {
   const bool knowsRoutes = aHeadline.routes_ <= routes_.Revision();
@@ -316,19 +316,19 @@
 // Throws a json::exception when the answer is of another form.
 void StoreFollower::TakeIn(const json& aAnswer, BootTime aAsked)
 {
-  const ViewChanges routes = ChangesFromJson(aAnswer.at(kRoutes));
-  const ViewChanges endpoints = ChangesFromJson(aAnswer.at(kEndpoints));
+  const StoreDelta routes = ChangesFromJson(aAnswer.at(kRoutes));
+  const StoreDelta endpoints = ChangesFromJson(aAnswer.at(kEndpoints));
   std::optional<BootTime> began;
   if (aAnswer.contains(kProofAge)) {
     began = aAsked - milliseconds(aAnswer.at(kProofAge).get<std::int64_t>());
     NoteGap(*began);
   }
-  Publish(options_.endpointsKind_, endpoints_.OnTold(endpoints));
+  Publish(options_.endpointsKind_, endpoints_.ApplyDelta(endpoints));
   if (aAnswer.contains(kEvacuations)) { // else an earlier version answered
-    const ViewChanges evacuations = ChangesFromJson(aAnswer.at(kEvacuations));
-    Publish(options_.evacuationsKind_, evacuations_.OnTold(evacuations));
+    const StoreDelta evacuations = ChangesFromJson(aAnswer.at(kEvacuations));
+    Publish(options_.evacuationsKind_, evacuations_.ApplyDelta(evacuations));
   }
-  Publish(options_.routesKind_, routes_.OnTold(routes));
+  Publish(options_.routesKind_, routes_.ApplyDelta(routes));
   if (began) {
     OnProof(*began);
   }
@@ -358,7 +358,7 @@
   return answer;
 }
 
-void StoreFollower::Publish(const std::string& aKind, const ViewNews& aNews)
+void StoreFollower::Publish(const std::string& aKind, const ViewUpdate& aNews)
 {
   if (aKind == options_.routesKind_ && !unprovenRoutes_.Empty()) {
     Publish(aKind, std::exchange(unprovenRoutes_, {}));
@@ -366,7 +366,7 @@
   const auto& sink = aKind == options_.routesKind_      ? parts_.onRoutes_
                      : aKind == options_.endpointsKind_ ? parts_.onEndpoint_
                                                         : parts_.onEvacuation_;
-  for (const ViewedObject& object : aNews.objects_) {
+  for (const CachedObject& object : aNews.objects_) {
     sink({ .object_ = { .kind_ = aKind,
                         .name_ = object.name_,
                         .version_ = object.version_,
@@ -408,11 +408,11 @@
 {
   if (reads_ != aReads) {
     reads_ = aReads;
-    const ReadRank rank = parts_.rank_();
+    const ReaderRank rank = parts_.rank_();
     Log(LogEvent::kStoreReading,
         { { "reads_itself", aReads },
           { "live_hosts", rank.hosts_ },
-          { "before", rank.before_ } });
+          { "before", rank.reachableBefore_ } });
   }
 }
 
--- a/src/gateway/gooseberrylift-suspect-watch.cc
+++ b/src/gateway/gooseberrylift-suspect-watch.cc
@@ -27,15 +27,15 @@
 {
 }
 
-void SuspectWatch::OnBroken(const std::string& aFingerprint,
-                            const ListedEndpoint& aEndpoint)
+void SuspectWatch::OnConnectionLost(const std::string& aFingerprint,
+                                    const ListedEndpoint& aEndpoint)
 {
   bool quarantined = false;
   bool look = false;
   {
     const std::lock_guard lock(mutex_);
-    quarantined =
-      suspects_.OnBroken(aFingerprint, aEndpoint.id_, system_clock::now());
+    quarantined = suspects_.OnConnectionLost(
+      aFingerprint, aEndpoint.id_, system_clock::now());
     look = looking_.insert(aEndpoint.id_).second;
   }
   if (quarantined) {
@@ -56,16 +56,16 @@
     looking_.erase(aEndpoint.id_);
   }
   if (refused) {
-    OnEnded(aEndpoint.id_);
+    OnEndpointExit(aEndpoint.id_);
   }
 }
 
-void SuspectWatch::OnEnded(const std::string& aEndpoint)
+void SuspectWatch::OnEndpointExit(const std::string& aEndpoint)
 {
   std::vector<std::string> quarantined;
   {
     const std::lock_guard lock(mutex_);
-    quarantined = suspects_.OnEnded(aEndpoint, system_clock::now());
+    quarantined = suspects_.OnEndpointExit(aEndpoint, system_clock::now());
   }
   Announce(quarantined, aEndpoint);
 }
--- a/src/host/gooseberrylift-gateway-host.cc
+++ b/src/host/gooseberrylift-gateway-host.cc
@@ -76,7 +76,7 @@
              .limiter_ = limiter_,
              .onReborn_ =
                [this](const std::string& aEndpoint) {
-                 suspects_.OnEnded(aEndpoint);
+                 suspects_.OnEndpointExit(aEndpoint);
                } })
   , routes_(*dialect_, board_)
   , endpoints_(*dialect_, fleet_)
@@ -90,11 +90,11 @@
         .publish_ = [this](const PeersState& aPeers) { TakeInPeers(aPeers); },
         .isListed_ = [this] { return rank_.rank_ == 0; } },
       { .round_ = kPeerRound,
-        .largeRound_ = kLargePeerRound,
+        .largeFleetRound_ = kLargePeerRound,
         .publishesInRounds_ = true,
         .callTimeout_ = milliseconds(500),
-        .partners_ = kPeerPartners,
-        .roundsUntilGone_ = kPeerRoundsUntilGone,
+        .roundFanout_ = kPeerPartners,
+        .roundsUntilExpired_ = kPeerRoundsUntilGone,
         .relayed_ = kPeerRelayed })
   , suspects_({ .client_ = client_,
                 .executor_ = context_.get_executor(),
@@ -102,11 +102,11 @@
   , datagrams_(context_.get_executor())
   , headlines_({ .executor_ = context_.get_executor(),
                  .datagrams_ = datagrams_,
-                 .draw_ = [this] { return DrawPeers(groups_, random_); },
+                 .draw_ = [this] { return SamplePeers(groups_, random_); },
                  .own_ = [this] { return follower_.Headline(); },
                  .take_ =
                    [this](const PeerMember& aPeer,
-                          const StoreHeadline& aHeadline,
+                          const StoreStatus& aHeadline,
                           std::optional<BootTime> aAsked) {
                      peers_.OnHeard(aPeer.host_);
                      follower_.OnHeadline(aPeer, aHeadline, aAsked);
@@ -121,9 +121,9 @@
                },
              .zoneSums_ = [this] { return fleet_.SumOf(groups_.zoneHosts_); },
              .take_ =
-               [this](const LoadWord& aWord) {
+               [this](const LoadMessage& aWord) {
                  metrics_.Count("gooseberrylift_load_words_total", "");
-                 fleet_.OnWord(aWord);
+                 fleet_.OnLoadMessage(aWord);
                } },
            { .host_ = settings_.hostName_, .zone_ = settings_.zone_ })
   , settingsWatch_(
@@ -191,7 +191,7 @@
   Digest digest;
   const RouteTable::Ptr table = board_.routes_.Read()->table_;
   digest.generation_ = table ? table->Version() : 0;
-  digest.storeReachable_ = !follower_.HasLostStore();
+  digest.storeReachable_ = !follower_.IsStoreUnavailable();
   digest.draining_ = board_.host_.Read()->draining_;
   digest.keysProven_ = routes_.KeysAreProven();
   digest.quarantine_ = suspects_.Entries();
@@ -397,7 +397,7 @@
     { "ready", reason.empty() },
     { "why_not_ready", reason },
     { "generation", table ? table->Version() : 0 },
-    { "store_reachable", !follower_.HasLostStore() },
+    { "store_reachable", !follower_.IsStoreUnavailable() },
     { "proof_age_ms", age ? age->count() : -1 },
     { "keys_proven", routes_.KeysAreProven() },
   };
--- a/src/runtime/gooseberrylift-burn-recorder.cc
+++ b/src/runtime/gooseberrylift-burn-recorder.cc
@@ -60,7 +60,7 @@
              "/report/burn",
              [this](HttpExchange& aExchange) -> asio::awaitable<void> {
                HttpResponse response =
-                 JsonResponse(200, BurnDocumentText(Document()));
+                 JsonResponse(200, SerializeBurnDocument(Document()));
                co_await aExchange.Send(std::move(response));
              });
 }
--- a/src/runtime/gooseberrylift-endpoint-tracker.cc
+++ b/src/runtime/gooseberrylift-endpoint-tracker.cc
@@ -54,7 +54,7 @@
   , executor_(std::move(aExecutor))
   , board_(aBoard)
   , options_(std::move(aOptions))
-  , book_(EndpointBook::Options{})
+  , book_(EndpointRegistry::Options{})
 {
 }
 
@@ -66,7 +66,7 @@
       const std::lock_guard lock(mutex_);
       for (const Digest& digest : aPeers->digests_) {
         for (const EndpointDigest& word : digest.endpoints_) {
-          changed = book_.OnPeerWord(word, TimerService::Now()) || changed;
+          changed = book_.OnPeerDigest(word, TimerService::Now()) || changed;
         }
       }
     }
--- a/src/runtime/gooseberrylift-log.cc
+++ b/src/runtime/gooseberrylift-log.cc
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 #include "gooseberrylift-log-sink.h"
-#include "gooseberrylift/gooseberrylift-event-limit.h"
+#include "gooseberrylift/gooseberrylift-event-rate-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
 
 INITIALIZE_EASYLOGGINGPP
@@ -193,7 +193,7 @@
 struct LimitedEvent
 {
   std::mutex mutex_;
-  EventLimit limit_{ EventLimit::Options{} };
+  EventRateLimiter limit_{ EventRateLimiter::Options{} };
 };
 
 // By event, in the order of kEvents.
@@ -220,7 +220,7 @@
   LimitedEvent& event =
     sLimits.at(static_cast<std::size_t>(&aInfo - kEvents.data()));
   const std::lock_guard lock(event.mutex_);
-  return event.limit_.Pass(TimerService::Now());
+  return event.limit_.Admit(TimerService::Now());
 }
 
 // Lines that their reader had no room for; the next one written tells.
--- a/src/runtime/gooseberrylift-metrics.cc
+++ b/src/runtime/gooseberrylift-metrics.cc
@@ -32,7 +32,7 @@
 {
   const std::string labels = "service=\"" + aKey.first + "\",prompt=\"" +
                              kPromptBands.at(aKey.second).name_ + "\"";
-  const int last = FirstTokenHistogram::Bins();
+  const int last = FirstTokenHistogram::BinCount();
   std::uint64_t total = 0;
   double sum = 0;
   for (int bin = -1; bin <= last; ++bin) {
@@ -136,7 +136,7 @@
   }
   out << "# TYPE gooseberrylift_first_token_seconds histogram\n";
   std::map<SeriesKey, SeriesBins> series;
-  for (const FirstTokenHistogram::Bin& bin : FirstTokens().Filled()) {
+  for (const FirstTokenHistogram::Bin& bin : FirstTokens().NonEmptyBins()) {
     series[{ bin.service_, bin.band_ }][bin.bin_] = bin.count_;
   }
   for (const auto& [key, bins] : series) {
--- a/src/runtime/gooseberrylift-model-runner.cc
+++ b/src/runtime/gooseberrylift-model-runner.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gooseberrylift/gooseberrylift-attempts.h"
+#include "gooseberrylift/gooseberrylift-attempt-errors.h"
 #include "gooseberrylift/gooseberrylift-sse.h"
 #include "gooseberrylift/internal/gooseberrylift-failed-attempt.h"
 #include "gooseberrylift/internal/gooseberrylift-tasks.h"
@@ -175,7 +175,7 @@
   TokenSink& aSink)
 {
   Progress progress;
-  Attempts attempts;
+  AttemptErrors attempts;
   // An engine that can't be reached or refuses costs nothing but a moment, and
   // after a death several such stand in the list until polls notice. Only
   // engines that took the request count as attempts, or a stream that meets one
@@ -228,9 +228,9 @@
     // The budget keeps second tries from multiplying load. A try that no engine
     // took made none; and a caller whose stream were refused here would send
     // the whole request again, which is more than the rest of it.
-    aGeneration.info_.freeRetry_ = progress.next_ > 0 || untaken;
+    aGeneration.info_.exemptFromRetryBudget_ = progress.next_ > 0 || untaken;
   }
-  co_return attempts.Final();
+  co_return attempts.FinalError();
 }
 
 asio::awaitable<Outcome<void>> ModelRunner::Attempt(
@@ -279,7 +279,7 @@
   HttpCall& aCall,
   TokenSink& aSink)
 {
-  SseReader reader;
+  SseParser reader;
   bool ended = false;
   const std::uint64_t first = aProgress.next_;
   while (true) {
--- a/src/runtime/gooseberrylift-peer-exchange.cc
+++ b/src/runtime/gooseberrylift-peer-exchange.cc
@@ -127,10 +127,10 @@
                         .incarnation_ = self_.incarnation_,
                         .seed_ = device(),
                         .round_ = options_.round_,
-                        .largeRound_ = options_.largeRound_,
-                        .partners_ = options_.partners_,
+                        .largeFleetRound_ = options_.largeFleetRound_,
+                        .roundFanout_ = options_.roundFanout_,
                         .relayedPerMessage_ = options_.relayed_,
-                        .roundsUntilGone_ = options_.roundsUntilGone_ });
+                        .roundsUntilExpired_ = options_.roundsUntilExpired_ });
   Refresh();
   started_ = true;
   SpawnTask(parts_.executor_, RunRounds());
@@ -172,7 +172,7 @@
     std::vector<PeerMember> peers;
     {
       const std::lock_guard lock(mutex_);
-      peers = table_->PickPeers();
+      peers = table_->SelectPeers();
       // Also where those known have all fallen silent.
       if (table_->Live(TimerService::Now()).empty()) {
         const std::vector<PeerMember> seeds = SeedPeers();
@@ -260,7 +260,7 @@
   std::vector<PeerMember> heard;
   {
     const std::lock_guard lock(mutex_);
-    heard = table_->HeardLately(TimerService::Now());
+    heard = table_->RecentlyHeard(TimerService::Now());
   }
   if (heard.empty()) {
     co_return false;
@@ -291,7 +291,7 @@
 {
   json members = json::array();
   const std::lock_guard lock(mutex_);
-  for (const PeerMember& member : table_->HeardLately(TimerService::Now())) {
+  for (const PeerMember& member : table_->RecentlyHeard(TimerService::Now())) {
     members.push_back(MemberToJson(member));
   }
   members.push_back(MemberToJson(self_));
@@ -377,7 +377,7 @@
     return;
   }
   bool fetch = false;
-  PeerNews news;
+  PeerMergeResult news;
   {
     const std::lock_guard lock(mutex_);
     news = table_->OnMessage(aMessage, TimerService::Now());
@@ -437,7 +437,7 @@
   std::vector<PeerMember> peers;
   {
     const std::lock_guard lock(mutex_);
-    peers = table_->PickForNews(options_.newsFanout_);
+    peers = table_->SelectOutdatedPeers(options_.newsFanout_);
   }
   StartExchanges(peers);
 }
@@ -451,7 +451,7 @@
   std::vector<PeerMember> peers;
   {
     const std::lock_guard lock(mutex_);
-    peers = table_->PickNear(options_.nearFanout_);
+    peers = table_->SelectPeersInScope(options_.nearFanout_);
   }
   StartExchanges(peers);
 }
@@ -460,7 +460,7 @@
 {
   Digest own = parts_.own_();
   const std::lock_guard lock(mutex_);
-  table_->SetOwn(std::move(own), TimerService::Now());
+  table_->BeginRound(std::move(own), TimerService::Now());
 }
 
 void PeerExchange::Publish()
@@ -471,7 +471,7 @@
   {
     const std::lock_guard lock(mutex_);
     live = table_->Live(TimerService::Now());
-    known = table_->FleetSize();
+    known = table_->EstimateOtherHosts();
   }
   alone_ = live.empty();
   parts_.publish_({ .digests_ = std::move(live), .known_ = known });
--- a/src/runtime/gooseberrylift-pool-broker.cc
+++ b/src/runtime/gooseberrylift-pool-broker.cc
@@ -77,10 +77,10 @@
     scheduler_.Configure(std::move(aOptions));
   }
 
-  void SetHosts(std::size_t aHosts)
+  void SetHostCount(std::size_t aHosts)
   {
     const std::lock_guard lock(mutex_);
-    scheduler_.SetHosts(aHosts);
+    scheduler_.SetHostCount(aHosts);
   }
 
   void Tick()
@@ -269,7 +269,7 @@
     }
   }
   auto shard = std::make_shared<PoolShard>(OptionsOf(aPool));
-  shard->SetHosts(board_.peers_.Read()->digests_.size() + 1);
+  shard->SetHostCount(board_.peers_.Read()->digests_.size() + 1);
   // A shard in the map is used at once by others. Were its endpoints set after,
   // the first requests of a pool would be refused with "no live endpoint".
   shard->SetEndpoints(std::move(ByPool(*board_.endpoints_.Read())[aPool]));
@@ -302,12 +302,12 @@
 // A second try was counted with the first.
 std::optional<Error> PoolBroker::TakeTeamTokens(const RequestInfo& aInfo)
 {
-  if (!aInfo.IsFirstTry()) {
+  if (!aInfo.IsFirstAttempt()) {
     return std::nullopt;
   }
   const std::lock_guard lock(limiterMutex_);
   const std::uint64_t tokens = aInfo.promptTokens_ + aInfo.maxTokens_;
-  if (limiter_.Take(aInfo.team_, tokens, TimerService::Now())) {
+  if (limiter_.TryAcquire(aInfo.team_, tokens, TimerService::Now())) {
     return std::nullopt;
   }
   std::uniform_int_distribution<std::int64_t> spread(kLeastRetryMs,
@@ -353,7 +353,7 @@
   }
   const std::shared_lock lock(mutex_);
   for (const auto& [name, shard] : shards_) {
-    shard->SetHosts(aState.digests_.size() + 1);
+    shard->SetHostCount(aState.digests_.size() + 1);
   }
 }
 
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -1,6 +1,6 @@
 #include "gooseberrylift/internal/gooseberrylift-service-runner.h"
 
-#include "gooseberrylift/gooseberrylift-attempts.h"
+#include "gooseberrylift/gooseberrylift-attempt-errors.h"
 #include "gooseberrylift/internal/gooseberrylift-failed-attempt.h"
 
 namespace gooseberrylift {
@@ -22,7 +22,7 @@
 
 asio::awaitable<Outcome<ServiceAnswer>> ServiceRunner::Run(ServiceCall aCall)
 {
-  Attempts attempts;
+  AttemptErrors attempts;
   for (int attempt = 1; attempt <= options_.maxAttempts_; ++attempt) {
     auto placement = co_await broker_.Acquire(aCall.pool_, aCall.info_);
     if (!placement) {
@@ -47,9 +47,10 @@
     }
     NoteFailedAttempt(metrics_, aCall.requestId_, name, failure);
     aCall.info_.excluded_.push_back(name);
-    aCall.info_.freeRetry_ = untaken; // it made no load on an endpoint
+    aCall.info_.exemptFromRetryBudget_ =
+      untaken; // it made no load on an endpoint
   }
-  co_return attempts.Final();
+  co_return attempts.FinalError();
 }
 
 asio::awaitable<Outcome<std::unique_ptr<HttpCall>>> ServiceRunner::Attempt(
--- a/test/core/gooseberrylift-attempts-test.cc
+++ b/test/core/gooseberrylift-attempt-errors-test.cc
@@ -1,38 +1,38 @@
-#include "gooseberrylift/gooseberrylift-attempts.h"
+#include "gooseberrylift/gooseberrylift-attempt-errors.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace gooseberrylift;
 
-TEST_GROUP(AttemptsTest){};
+TEST_GROUP(AttemptErrorsTest){};
 
 // The first endpoint received the request and failed; the second was
 // unreachable and reports "not run". The caller must not receive that state,
 // because the first endpoint may have run the request.
-TEST(AttemptsTest, NeverSaysNotRunAfterAnEndpointTookTheRequest)
+TEST(AttemptErrorsTest, NeverSaysNotRunAfterAnEndpointTookTheRequest)
 {
-  Attempts attempts;
+  AttemptErrors attempts;
   attempts.OnFailed(
     { .code_ = ResultCode::kEndpointBroken, .ran_ = RanState::kUnknown });
   attempts.OnFailed({ .code_ = ResultCode::kEndpointUnreachable });
-  const Error error = attempts.Final();
+  const Error error = attempts.FinalError();
   CHECK(error.code_ == ResultCode::kEndpointUnreachable);
   CHECK(error.ran_ == RanState::kUnknown);
 }
 
-TEST(AttemptsTest, SaysNotRunWhenNoEndpointTookTheRequest)
+TEST(AttemptErrorsTest, SaysNotRunWhenNoEndpointTookTheRequest)
 {
-  Attempts attempts;
+  AttemptErrors attempts;
   attempts.OnFailed({ .code_ = ResultCode::kEndpointUnreachable });
-  CHECK(attempts.Final().ran_ == RanState::kNo);
+  CHECK(attempts.FinalError().ran_ == RanState::kNo);
 }
 
-TEST(AttemptsTest, NamesTheFailureRatherThanNoneLeft)
+TEST(AttemptErrorsTest, NamesTheFailureRatherThanNoneLeft)
 {
-  Attempts attempts;
+  AttemptErrors attempts;
   attempts.OnFailed({ .code_ = ResultCode::kEndpointRefused });
   attempts.OnRefused({ .code_ = ResultCode::kNoEndpoint });
-  CHECK(attempts.Final().code_ == ResultCode::kEndpointRefused);
+  CHECK(attempts.FinalError().code_ == ResultCode::kEndpointRefused);
   attempts.OnRefused({ .code_ = ResultCode::kRetryBudgetSpent });
-  CHECK(attempts.Final().code_ == ResultCode::kRetryBudgetSpent);
+  CHECK(attempts.FinalError().code_ == ResultCode::kRetryBudgetSpent);
 }
--- a/test/core/gooseberrylift-burn-test.cc
+++ b/test/core/gooseberrylift-burn-test.cc
@@ -32,7 +32,7 @@
 
 TEST_GROUP(BurnTest)
 {
-  BurnLedger ledger_{ BurnLedger::Options{} };
+  BurnCounters ledger_{ BurnCounters::Options{} };
   TimePoint start_{ 1000h };
   ServiceObjective objective_{ .firstToken_ = { 300ms, 600ms },
                                .firstTokenShare_ = 0.95,
@@ -137,9 +137,9 @@
 TEST(BurnTest, MergedCountsEqualThoseOfASingleHost)
 {
   std::mt19937 generator(7);
-  std::array<BurnLedger, 3> hosts{ BurnLedger({}),
-                                   BurnLedger({}),
-                                   BurnLedger({}) };
+  std::array<BurnCounters, 3> hosts{ BurnCounters({}),
+                                     BurnCounters({}),
+                                     BurnCounters({}) };
   std::array<FirstTokenHistogram, 3> times;
   FirstTokenHistogram allTimes;
   for (int count = 0; count < 3000; ++count) {
@@ -159,13 +159,13 @@
   for (const std::size_t host : { 2, 0, 1 }) {
     MergeTally(merged, hosts.at(host).Tally(start_ + 300min));
     mergedTimes.Merge(times.at(host));
-    for (const auto& bin : times.at(host).Filled()) {
+    for (const auto& bin : times.at(host).NonEmptyBins()) {
       sentTimes.Add(bin);
     }
   }
   CHECK(merged == ledger_.Tally(start_ + 300min));
-  CHECK(mergedTimes.Filled() == allTimes.Filled());
-  CHECK(sentTimes.Filled() == allTimes.Filled());
+  CHECK(mergedTimes.NonEmptyBins() == allTimes.NonEmptyBins());
+  CHECK(sentTimes.NonEmptyBins() == allTimes.NonEmptyBins());
 }
 
 TEST(BurnTest, SortsTeamsByBurnRate)
@@ -184,7 +184,7 @@
 // aggregated, and idle series are evicted to make room for new teams.
 TEST(BurnTest, LimitsSeriesAndAggregatesFurtherTeams)
 {
-  BurnLedger small({ .maxSeries_ = 2 });
+  BurnCounters small({ .maxSeries_ = 2 });
   for (const char* team : { "a", "b", "c", "d" }) {
     small.Record(Sample(team, true), objective_, start_);
   }
@@ -192,7 +192,7 @@
   const BurnTally tally = small.Tally(start_);
   LONGS_EQUAL(
     2,
-    tally.at({ BurnLedger::kOtherTeams, "chat", 0, BurnObjective::kSuccess })
+    tally.at({ BurnCounters::kOtherTeams, "chat", 0, BurnObjective::kSuccess })
       .at(kHour)
       .met_);
   small.Record(Sample("e", true), objective_, start_ + 7h);
@@ -227,10 +227,11 @@
                          .objectives_ = { { "chat", objective_ } },
                          .tally_ = ledger_.Tally(start_) };
   document.firstTokens_.Record("chat", 100, 200ms);
-  const auto read = ParseBurnDocument(BurnDocumentText(document));
+  const auto read = ParseBurnDocument(SerializeBurnDocument(document));
   CHECK_TRUE(read.has_value());
   CHECK(read->tally_ == document.tally_);
-  CHECK(read->firstTokens_.Filled() == document.firstTokens_.Filled());
+  CHECK(read->firstTokens_.NonEmptyBins() ==
+        document.firstTokens_.NonEmptyBins());
   CHECK(read->objectives_.at("chat").firstToken_ == objective_.firstToken_);
   CHECK_FALSE(ParseBurnDocument(R"({"hosts":[]})").has_value());
 }
--- a/test/core/gooseberrylift-config-change-test.cc
+++ b/test/core/gooseberrylift-config-change-test.cc
@@ -10,15 +10,16 @@
 TEST(ConfigChangeTest, NumbersChangesAboveTheHighestGenerationInForce)
 {
   const StoredConfiguration restored{ .generation_ = 3 };
-  LONGS_EQUAL(8, *NextGeneration(restored, { .base_ = 7, .highestKnown_ = 7 }));
-  CHECK_FALSE(NextGeneration(restored, { .base_ = 3, .highestKnown_ = 7 }));
+  LONGS_EQUAL(8,
+              *NextGeneration(restored, { .base_ = 7, .highestInForce_ = 7 }));
+  CHECK_FALSE(NextGeneration(restored, { .base_ = 3, .highestInForce_ = 7 }));
 }
 
 TEST(ConfigChangeTest, RejectsABaseThatIsNotTheNewest)
 {
   const StoredConfiguration stored{ .generation_ = 3 };
-  CHECK_FALSE(NextGeneration(stored, { .base_ = 2, .highestKnown_ = 2 }));
-  CHECK_FALSE(NextGeneration(stored, { .base_ = 4, .highestKnown_ = 3 }));
+  CHECK_FALSE(NextGeneration(stored, { .base_ = 2, .highestInForce_ = 2 }));
+  CHECK_FALSE(NextGeneration(stored, { .base_ = 4, .highestInForce_ = 3 }));
 }
 
 // If the response to a write is lost and other writes follow, the writer must
@@ -27,12 +28,12 @@
 {
   StoredConfiguration stored;
   for (std::uint64_t number = 1; number <= 150; ++number) {
-    stored = WithChange(
+    stored = AppendChange(
       StoredConfiguration::FromSpec(stored.ToSpec()),
       json::object(),
       { .generation_ = number, .nonce_ = "n" + std::to_string(number) });
   }
-  LONGS_EQUAL(StoredConfiguration::kRecent, stored.recent_.size());
+  LONGS_EQUAL(StoredConfiguration::kMaxRecentChanges, stored.recent_.size());
   LONGS_EQUAL(140, stored.FindChange("n140")->generation_);
   CHECK_FALSE(stored.FindChange("n50"));
 }
--- a/test/core/gooseberrylift-endpoint-directory-test.cc
+++ b/test/core/gooseberrylift-endpoint-directory-test.cc
@@ -1,6 +1,6 @@
 #include "gooseberrylift/routing/gooseberrylift-endpoint-directory.h"
 
-#include "gooseberrylift/routing/gooseberrylift-endpoint-trust.h"
+#include "gooseberrylift/routing/gooseberrylift-outlier-detector.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -22,7 +22,7 @@
                                  bool aLeaving = false)
   {
     ListedEndpoint listed = Listed(aId, aLeaving);
-    listed.born_ = BirthTime(aStart);
+    listed.startTime_ = StartTime(aStart);
     return listed;
   }
 
@@ -87,7 +87,7 @@
   directory_.OnListed(ListedAt("a", 200ms));
   CHECK_FALSE(directory_.OnListed(ListedAt("a", 100ms, true)));
   LONGS_EQUAL(1, Usable());
-  LONGS_EQUAL(200, directory_.Find("a")->born_.time_since_epoch().count());
+  LONGS_EQUAL(200, directory_.Find("a")->startTime_.time_since_epoch().count());
 }
 
 TEST(EndpointDirectoryTest,
@@ -123,9 +123,9 @@
   CHECK_TRUE(directory_.Find("a") != nullptr);
 }
 
-TEST_GROUP(EndpointTrustTest)
+TEST_GROUP(OutlierDetectorTest)
 {
-  EndpointTrust trust_{ EndpointTrust::Options{} };
+  OutlierDetector trust_{ OutlierDetector::Options{} };
   TimePoint now_{ 1000s };
 
   void RecordOutcomes(
@@ -137,34 +137,34 @@
   }
 };
 
-TEST(EndpointTrustTest, DoublesTheEjectionOfAnUnreachableEndpoint)
+TEST(OutlierDetectorTest, DoublesTheEjectionOfAnUnreachableEndpoint)
 {
   RecordOutcomes("a", EndpointOutcome::kUnreachable, 1);
-  CHECK_TRUE(trust_.IsSetAside("a", now_ + 400ms));
-  CHECK_FALSE(trust_.IsSetAside("a", now_ + 600ms));
+  CHECK_TRUE(trust_.IsEjected("a", now_ + 400ms));
+  CHECK_FALSE(trust_.IsEjected("a", now_ + 600ms));
   RecordOutcomes("a", EndpointOutcome::kUnreachable, 1);
-  CHECK_TRUE(trust_.IsSetAside("a", now_ + 900ms));
+  CHECK_TRUE(trust_.IsEjected("a", now_ + 900ms));
 }
 
 // An endpoint that fails while the others serve is ejected. If all endpoints
 // fail as often, the cause lies elsewhere, and ejecting all of them would leave
 // none.
-TEST(EndpointTrustTest, EjectsOnlyAnEndpointThatFailsMoreThanTheOthers)
+TEST(OutlierDetectorTest, EjectsOnlyAnEndpointThatFailsMoreThanTheOthers)
 {
   RecordOutcomes("good", EndpointOutcome::kServed, 200);
   RecordOutcomes("bad", EndpointOutcome::kFailed, 3);
-  CHECK_TRUE(trust_.IsSetAside("bad", now_));
-  CHECK_FALSE(trust_.IsSetAside("good", now_));
+  CHECK_TRUE(trust_.IsEjected("bad", now_));
+  CHECK_FALSE(trust_.IsEjected("good", now_));
   RecordOutcomes("good", EndpointOutcome::kFailed, 300);
   now_ += 10s;
   RecordOutcomes("other", EndpointOutcome::kFailed, 3);
-  CHECK_FALSE(trust_.IsSetAside("other", now_));
+  CHECK_FALSE(trust_.IsEjected("other", now_));
 }
 
-TEST(EndpointTrustTest, DoesNotCountRefusalsAsFailures)
+TEST(OutlierDetectorTest, DoesNotCountRefusalsAsFailures)
 {
   RecordOutcomes("a", EndpointOutcome::kRefused, 50);
-  CHECK_FALSE(trust_.IsSetAside("a", now_));
+  CHECK_FALSE(trust_.IsEjected("a", now_));
 }
 
 // Guards against requests to endpoints of an evacuated zone.
--- a/test/core/gooseberrylift-endpoint-rates-test.cc
+++ b/test/core/gooseberrylift-endpoint-rate-limits-test.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/limits/gooseberrylift-endpoint-rates.h"
+#include "gooseberrylift/limits/gooseberrylift-endpoint-rate-limits.h"
 
 #include "gooseberrylift/gooseberrylift-digest-codec.h"
 
@@ -9,13 +9,16 @@
 
 namespace {
 
-const Incarnation kEngine{ .id_ = "engine-1", .born_ = BirthTime(5ms) };
-constexpr RateNotice kNoLimit{};
-constexpr RateNotice kUnreadable{ .kind_ = RateNotice::Kind::kUnreadable };
+const Incarnation kEngine{ .id_ = "engine-1", .startTime_ = StartTime(5ms) };
+constexpr AdvertisedRateLimit kNoLimit{};
+constexpr AdvertisedRateLimit kMalformed{
+  .kind_ = AdvertisedRateLimit::Kind::kMalformed
+};
 
-RateNotice Limit(double aPerSecond)
+AdvertisedRateLimit Limit(double aPerSecond)
 {
-  return { .kind_ = RateNotice::Kind::kNamed, .perSecond_ = aPerSecond };
+  return { .kind_ = AdvertisedRateLimit::Kind::kSpecified,
+           .perSecond_ = aPerSecond };
 }
 
 bool Listed(const Incarnation& /*aEndpoint*/)
@@ -28,18 +31,18 @@
   return false;
 }
 
-EndpointRates MakeRates()
+EndpointRateLimits MakeRates()
 {
-  return EndpointRates(EndpointRates::Options{});
+  return EndpointRateLimits(EndpointRateLimits::Options{});
 }
 
 } // namespace
 
-TEST_GROUP(EndpointRatesTest){};
+TEST_GROUP(EndpointRateLimitsTest){};
 
-TEST(EndpointRatesTest, ReportsNewLimitAndItsChangesOnly)
+TEST(EndpointRateLimitsTest, ReportsNewLimitAndItsChangesOnly)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   CHECK_FALSE(rates.Of(kEngine).has_value());
   CHECK_TRUE(rates.OnAnswer(kEngine, Limit(1.5), TimePoint(1s), TimePoint(2s)));
   CHECK_FALSE(
@@ -50,9 +53,9 @@
   DOUBLES_EQUAL(2.5, *rates.Of(kEngine), 0.001);
 }
 
-TEST(EndpointRatesTest, FollowsDecreasingRateWithFewChanges)
+TEST(EndpointRateLimitsTest, FollowsDecreasingRateWithFewChanges)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   int changes = 0;
   for (int answer = 0; answer <= 100; ++answer) {
     const double perSecond = 10 - 0.09 * answer;
@@ -65,9 +68,9 @@
   CHECK_TRUE(changes < 30);
 }
 
-TEST(EndpointRatesTest, OnlyResponseToLaterRequestLiftsLimit)
+TEST(EndpointRateLimitsTest, OnlyResponseToLaterRequestLiftsLimit)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   rates.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
   CHECK_FALSE(rates.OnAnswer(kEngine, kNoLimit, TimePoint(1s), TimePoint(3s)));
   CHECK_TRUE(rates.Of(kEngine).has_value());
@@ -75,21 +78,21 @@
   CHECK_FALSE(rates.Of(kEngine).has_value());
 }
 
-TEST(EndpointRatesTest, UnreadableNoticeKeepsCurrentLimit)
+TEST(EndpointRateLimitsTest, UnreadableNoticeKeepsCurrentLimit)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   CHECK_FALSE(
-    rates.OnAnswer(kEngine, kUnreadable, TimePoint(1s), TimePoint(2s)));
+    rates.OnAnswer(kEngine, kMalformed, TimePoint(1s), TimePoint(2s)));
   CHECK_FALSE(rates.Of(kEngine).has_value());
   rates.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
-  rates.OnAnswer(kEngine, kUnreadable, TimePoint(3s), TimePoint(4s));
+  rates.OnAnswer(kEngine, kMalformed, TimePoint(3s), TimePoint(4s));
   DOUBLES_EQUAL(2, *rates.Of(kEngine), 0.001);
 }
 
-TEST(EndpointRatesTest, HigherVersionWinsBetweenPeers)
+TEST(EndpointRateLimitsTest, HigherVersionWinsBetweenPeers)
 {
-  EndpointRates first = MakeRates();
-  EndpointRates second = MakeRates();
+  EndpointRateLimits first = MakeRates();
+  EndpointRateLimits second = MakeRates();
   first.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
   LONGS_EQUAL(1, second.OnPeer(first.Entries(), Listed, TimePoint(2s)).size());
   second.OnAnswer(kEngine, kNoLimit, TimePoint(3s), TimePoint(4s));
@@ -99,10 +102,10 @@
   CHECK_FALSE(first.Of(kEngine).has_value());
 }
 
-TEST(EndpointRatesTest, LowerLimitWinsForEqualVersions)
+TEST(EndpointRateLimitsTest, LowerLimitWinsForEqualVersions)
 {
-  EndpointRates first = MakeRates();
-  EndpointRates second = MakeRates();
+  EndpointRateLimits first = MakeRates();
+  EndpointRateLimits second = MakeRates();
   first.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
   second.OnAnswer(kEngine, Limit(3), TimePoint(1s), TimePoint(2s));
   const auto received = second.Entries();
@@ -112,17 +115,18 @@
   DOUBLES_EQUAL(2, *second.Of(kEngine), 0.001);
 }
 
-TEST(EndpointRatesTest, LimitDoesNotApplyToAnotherIncarnation)
+TEST(EndpointRateLimitsTest, LimitDoesNotApplyToAnotherIncarnation)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   rates.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
-  const Incarnation restarted{ .id_ = kEngine.id_, .born_ = BirthTime(9ms) };
+  const Incarnation restarted{ .id_ = kEngine.id_,
+                               .startTime_ = StartTime(9ms) };
   CHECK_FALSE(rates.Of(restarted).has_value());
 }
 
-TEST(EndpointRatesTest, RemovesUnlistedEndpointsAndIgnoresThemFromPeers)
+TEST(EndpointRateLimitsTest, RemovesUnlistedEndpointsAndIgnoresThemFromPeers)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   rates.OnAnswer(kEngine, Limit(2), TimePoint(1s), TimePoint(2s));
   const auto received = rates.Entries();
   rates.Sweep(Listed, TimePoint(100s));
@@ -134,9 +138,9 @@
   LONGS_EQUAL(0, rates.Entries().size());
 }
 
-TEST(EndpointRatesTest, EntriesSurviveDigestRoundTrip)
+TEST(EndpointRateLimitsTest, EntriesSurviveDigestRoundTrip)
 {
-  EndpointRates rates = MakeRates();
+  EndpointRateLimits rates = MakeRates();
   rates.OnAnswer(kEngine, Limit(1.5), TimePoint(1s), TimePoint(2s));
   const Incarnation other{ .id_ = "engine-2" };
   rates.OnAnswer(other, Limit(4), TimePoint(1s), TimePoint(2s));
--- a/test/core/gooseberrylift-endpoint-book-test.cc
+++ b/test/core/gooseberrylift-endpoint-registry-test.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/gooseberrylift-endpoint-book.h"
+#include "gooseberrylift/gooseberrylift-endpoint-registry.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -15,9 +15,9 @@
 
 } // namespace
 
-TEST_GROUP(EndpointBookTest)
+TEST_GROUP(EndpointRegistryTest)
 {
-  EndpointBook book_{ EndpointBook::Options{} };
+  EndpointRegistry book_{ EndpointRegistry::Options{} };
   TimePoint now_{};
 
   EndpointState StateOf(const std::string& aName)
@@ -35,7 +35,7 @@
 // The list lags, so it may show an endpoint as live after the endpoint reported
 // that it is leaving. If the endpoint became live again, new requests would be
 // sent to it and interrupted.
-TEST(EndpointBookTest, KeepsAnIncarnationLeavingWhenTheListLags)
+TEST(EndpointRegistryTest, KeepsAnIncarnationLeavingWhenTheListLags)
 {
   book_.OnList({ Listed("e", 1) }, now_);
   book_.OnReport("e", { .leaving_ = true, .incarnation_ = 1 }, now_);
@@ -44,14 +44,14 @@
   CHECK(StateOf("e") == EndpointState::kLeaving);
 }
 
-TEST(EndpointBookTest, TakesANewIncarnationAsLive)
+TEST(EndpointRegistryTest, TakesANewIncarnationAsLive)
 {
   book_.OnList({ Listed("e", 1, EndpointState::kLeaving) }, now_);
   book_.OnList({ Listed("e", 2) }, now_);
   CHECK(StateOf("e") == EndpointState::kLive);
 }
 
-TEST(EndpointBookTest, DeclaresDeadAfterThreeFailuresInARow)
+TEST(EndpointRegistryTest, DeclaresDeadAfterThreeFailuresInARow)
 {
   book_.OnList({ Listed("e", 1) }, now_);
   book_.OnFailure("e", now_);
@@ -65,7 +65,7 @@
 
 // The host list is served but empty. If that emptied the pool, every request
 // would be refused until the list recovered.
-TEST(EndpointBookTest, KeepsItsEndpointsWhenTheListIsEmpty)
+TEST(EndpointRegistryTest, KeepsItsEndpointsWhenTheListIsEmpty)
 {
   book_.OnList({ Listed("e", 1) }, now_);
   CHECK_FALSE(book_.OnList({}, now_));
@@ -74,7 +74,7 @@
 
 // The list is truncated. Endpoints that still answer must stay, or half of the
 // pool would be overloaded; those that are also silent must be removed.
-TEST(EndpointBookTest, DropsOnlySilentEndpointsMissingFromATruncatedList)
+TEST(EndpointRegistryTest, DropsOnlySilentEndpointsMissingFromATruncatedList)
 {
   book_.OnList({ Listed("e", 1), Listed("f", 1), Listed("g", 1) }, now_);
   for (int poll = 0; poll < 3; ++poll) {
@@ -91,13 +91,13 @@
 // A leaving endpoint refused a request of a peer and would refuse this host as
 // well, so the peer's digest is sufficient. A digest about an earlier
 // incarnation must be ignored.
-TEST(EndpointBookTest, AcceptsAPeersReportThatAnEndpointIsLeaving)
+TEST(EndpointRegistryTest, AcceptsAPeersReportThatAnEndpointIsLeaving)
 {
   book_.OnList({ Listed("e", 2), Listed("f", 2) }, now_);
-  book_.OnPeerWord(
+  book_.OnPeerDigest(
     { .name_ = "e", .incarnation_ = 2, .state_ = EndpointState::kLeaving },
     now_);
-  book_.OnPeerWord(
+  book_.OnPeerDigest(
     { .name_ = "f", .incarnation_ = 1, .state_ = EndpointState::kLeaving },
     now_);
   CHECK(StateOf("e") == EndpointState::kLeaving);
@@ -106,16 +106,16 @@
 
 // A partitioned peer reports all endpoints as dead. No endpoint may be lost
 // while it still answers this host.
-TEST(EndpointBookTest, CountsAPeersDeadReportAsOneFailure)
+TEST(EndpointRegistryTest, CountsAPeersDeadReportAsOneFailure)
 {
   const EndpointDigest dead{ .name_ = "e",
                              .incarnation_ = 1,
                              .state_ = EndpointState::kDead };
   book_.OnList({ Listed("e", 1) }, now_);
-  book_.OnPeerWord(dead, now_);
+  book_.OnPeerDigest(dead, now_);
   CHECK(StateOf("e") == EndpointState::kLive);
   book_.OnFailure("e", now_);
-  book_.OnPeerWord(dead, now_);
+  book_.OnPeerDigest(dead, now_);
   CHECK(StateOf("e") == EndpointState::kLive);
   book_.OnFailure("e", now_);
   CHECK(StateOf("e") == EndpointState::kDead);
--- a/test/core/gooseberrylift-event-splitter-test.cc
+++ b/test/core/gooseberrylift-event-splitter-test.cc
@@ -60,9 +60,9 @@
   EventSequence sequence(12);
   using enum EventSequence::Verdict;
   CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 13 }) == kPass);
-  CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 13 }) == kRepeated);
+  CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 13 }) == kDuplicate);
   CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 14 }) == kPass);
-  CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 16 }) == kBroken);
+  CHECK_TRUE(sequence.Take({ .bytes_ = {}, .id_ = 16 }) == kGap);
   LONGS_EQUAL(14, *sequence.Last());
 }
 
--- a/test/core/gooseberrylift-fleet-load-test.cc
+++ b/test/core/gooseberrylift-fleet-load-test.cc
@@ -19,7 +19,7 @@
 
 TEST(FleetLoadTest, CountsPrefillUntilTheFirstToken)
 {
-  load_.OnSent("engine", 1, { .read_ = 800ms }, now_);
+  load_.OnSent("engine", 1, { .prefill_ = 800ms }, now_);
   now_ += 300ms;
   LONGS_EQUAL(500, BacklogMs());
   now_ += 5s;
@@ -33,17 +33,18 @@
 
 TEST(FleetLoadTest, AddsThePeersAndDropsThoseWithoutMessages)
 {
-  load_.OnPeer(
-    "peer", { { .id_ = "engine", .running_ = 3, .tight_ = 2 } }, now_);
+  load_.OnPeerSnapshot(
+    "peer", { { .id_ = "engine", .running_ = 3, .tightGap_ = 2 } }, now_);
   LONGS_EQUAL(3, load_.Of("engine", now_).running_);
-  LONGS_EQUAL(2, load_.Of("engine", now_).tight_);
+  LONGS_EQUAL(2, load_.Of("engine", now_).tightGap_);
   LONGS_EQUAL(0, load_.Of("engine", now_ + 3s).running_);
 }
 
 TEST(FleetLoadTest, KeepsTheNewerOfTwoMessages)
 {
-  load_.OnPeer("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
-  load_.OnPeer("peer", { { .id_ = "engine", .running_ = 9 } }, now_ - 1s);
+  load_.OnPeerSnapshot("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
+  load_.OnPeerSnapshot(
+    "peer", { { .id_ = "engine", .running_ = 9 } }, now_ - 1s);
   LONGS_EQUAL(3, load_.Of("engine", now_).running_);
 }
 
@@ -53,7 +54,7 @@
 {
   load_.OnSent("engine",
                1,
-               { .memoryTokens_ = 500, .read_ = 1s, .isHelper_ = true },
+               { .memoryTokens_ = 500, .prefill_ = 1s, .isHelper_ = true },
                now_);
   LONGS_EQUAL(0, load_.Of("engine", now_).running_);
   LONGS_EQUAL(500, load_.Of("engine", now_).memoryTokens_);
@@ -93,11 +94,11 @@
 
 TEST(FleetLoadTest, ReturnsForHowLongAnEndpointWasSilentToPeers)
 {
-  CHECK_FALSE(load_.SilentToPeersFor("engine", now_).has_value());
-  load_.OnPeer("one", { { .id_ = "engine", .silent_ = 900ms } }, now_);
-  load_.OnPeer("two", { { .id_ = "engine", .silent_ = 70ms } }, now_);
-  LONGS_EQUAL(170, load_.SilentToPeersFor("engine", now_ + 100ms)->count());
-  CHECK_FALSE(load_.SilentToPeersFor("engine", now_ + 3s).has_value());
+  CHECK_FALSE(load_.ShortestPeerSilence("engine", now_).has_value());
+  load_.OnPeerSnapshot("one", { { .id_ = "engine", .silent_ = 900ms } }, now_);
+  load_.OnPeerSnapshot("two", { { .id_ = "engine", .silent_ = 70ms } }, now_);
+  LONGS_EQUAL(170, load_.ShortestPeerSilence("engine", now_ + 100ms)->count());
+  CHECK_FALSE(load_.ShortestPeerSilence("engine", now_ + 3s).has_value());
 }
 
 TEST(FleetLoadTest, DoesNotCountAnEndAsReceivedData)
@@ -110,10 +111,10 @@
 
 TEST(FleetLoadTest, AddsFurtherPartsOfAPeersSnapshot)
 {
-  load_.OnPeer("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
-  load_.OnMoreOfPeer("peer", { { .id_ = "other", .running_ = 2 } });
+  load_.OnPeerSnapshot("peer", { { .id_ = "engine", .running_ = 3 } }, now_);
+  load_.OnPeerSnapshotContinued("peer", { { .id_ = "other", .running_ = 2 } });
   LONGS_EQUAL(3, load_.Of("engine", now_).running_);
   LONGS_EQUAL(2, load_.Of("other", now_).running_);
-  load_.OnPeer("peer", {}, now_ + 1ms);
+  load_.OnPeerSnapshot("peer", {}, now_ + 1ms);
   LONGS_EQUAL(0, load_.Of("other", now_ + 1ms).running_);
 }
--- a/test/core/gooseberrylift-fleet-placement-test.cc
+++ b/test/core/gooseberrylift-fleet-placement-test.cc
@@ -1,9 +1,9 @@
 #include "bench/gooseberrylift-pass-bench.h"
-#include "gooseberrylift/limits/gooseberrylift-long-hold.h"
+#include "gooseberrylift/limits/gooseberrylift-long-prompt-hold.h"
 #include "gooseberrylift/limits/gooseberrylift-route-admission.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-order.h"
 #include "gooseberrylift/routing/gooseberrylift-fleet-placement.h"
-#include "gooseberrylift/routing/gooseberrylift-urgency.h"
+#include "gooseberrylift/routing/gooseberrylift-priority-class.h"
 
 #include <algorithm>
 
@@ -16,16 +16,16 @@
 
 namespace {
 
-EngineFigures Profile()
+EngineProfile Profile()
 {
   return { .slots_ = 16,
            .memoryTokens_ = 450'000,
            .stepMs_ = 1,
-           .readTokensPerMs_ = 250,
-           .readPerMillionPairsMs_ = 0.1,
-           .readTokensPerStep_ = 2048,
-           .stride_ = 46,
-           .usualAnswerTokens_ = 1500 };
+           .prefillTokensPerMs_ = 250,
+           .prefillMsPerMillionPairs_ = 0.1,
+           .prefillTokensPerStep_ = 2048,
+           .stepsPerPass_ = 46,
+           .typicalAnswerTokens_ = 1500 };
 }
 
 constexpr ServiceGaps kGaps{ .shortest_ = 200ms, .next_ = 500ms };
@@ -73,15 +73,15 @@
 TEST(FleetPlacementTest, PredictsPrefillTimeFromTokensAndPairs)
 {
   // 100,000 tokens: 400 ms for the linear part, 500 ms for 5,000 million pairs.
-  LONGS_EQUAL(900'000, Profile().ReadTime(100'000).count());
-  LONGS_EQUAL(225'000, Profile().ReadTime(100'000, 4).count());
+  LONGS_EQUAL(900'000, Profile().PrefillTime(100'000).count());
+  LONGS_EQUAL(225'000, Profile().PrefillTime(100'000, 4).count());
   LONGS_EQUAL(46'000, Profile().PassTime(0, 0).count());
 }
 
 TEST(FleetPlacementTest, SeparatesShortAndLongRequestsIntoLanes)
 {
   AddEngines(8);
-  candidates_[0].load_ = { .running_ = 4, .tight_ = 4 };
+  candidates_[0].load_ = { .running_ = 4, .tightGap_ = 4 };
   STRCMP_EQUAL("0", Choose(ShortRequest())->endpoint_->id_.c_str());
   const auto choice = Choose(LongRequest(200'000));
   CHECK_TRUE(choice->long_);
@@ -96,7 +96,7 @@
   AddEngines(8);
   for (int index = 0; index < 3; ++index) {
     candidates_[static_cast<std::size_t>(index)].load_ = { .running_ = 15,
-                                                           .tight_ = 15 };
+                                                           .tightGap_ = 15 };
   }
   // Three engines are full, so the fourth joins the lane.
   STRCMP_EQUAL("3", Choose(ShortRequest())->endpoint_->id_.c_str());
@@ -110,7 +110,7 @@
   AddEngines(2);
   CHECK_FALSE(Choose(ShortRequest())->deferred_);
   for (PlacementCandidate& candidate : candidates_) {
-    candidate.load_ = { .running_ = 20, .tight_ = 20 };
+    candidate.load_ = { .running_ = 20, .tightGap_ = 20 };
   }
   const auto late = Choose(ShortRequest());
   CHECK_TRUE(late->deferred_);
@@ -128,7 +128,7 @@
 {
   AddEngines(1);
   const auto alone = Choose(LongRequest(200'000))->wait_;
-  candidates_[0].load_ = { .running_ = 10, .tight_ = 10 };
+  candidates_[0].load_ = { .running_ = 10, .tightGap_ = 10 };
   CHECK_TRUE(Choose(LongRequest(200'000))->wait_ > alone + 200ms);
 }
 
@@ -175,15 +175,15 @@
   LONGS_EQUAL(0, alone->helpers_.size());
 }
 
-TEST_GROUP(UrgencyTest){};
+TEST_GROUP(PriorityClassTest){};
 
-TEST(UrgencyTest, PutsDeferredRequestsBehindAllOthers)
+TEST(PriorityClassTest, PutsDeferredRequestsBehindAllOthers)
 {
-  LONGS_EQUAL(0, UrgencyOf(0, false));
-  LONGS_EQUAL(2, UrgencyOf(2, false));
-  CHECK_TRUE(UrgencyOf(0, true) > UrgencyOf(99, false));
-  LONGS_EQUAL(9, UrgencyOf(99, true));
-  LONGS_EQUAL(0, UrgencyOf(-1, false));
+  LONGS_EQUAL(0, PriorityClassOf(0, false));
+  LONGS_EQUAL(2, PriorityClassOf(2, false));
+  CHECK_TRUE(PriorityClassOf(0, true) > PriorityClassOf(99, false));
+  LONGS_EQUAL(9, PriorityClassOf(99, true));
+  LONGS_EQUAL(0, PriorityClassOf(-1, false));
 }
 
 TEST(FleetPlacementTest, SpreadsALongPromptOverIdleEngines)
@@ -191,17 +191,17 @@
   AddEngines(8);
   const auto choice = Choose(LongRequest(200'000));
   CHECK_TRUE(choice->helpers_.size() >= 3);
-  CHECK_TRUE(choice->firstAnswer_ < Profile().ReadTime(200'000) / 3);
-  LONGS_EQUAL(0, choice->heldTokens_);
+  CHECK_TRUE(choice->firstAnswer_ < Profile().PrefillTime(200'000) / 3);
+  LONGS_EQUAL(0, choice->reservedTokens_);
 }
 
 TEST(FleetPlacementTest, ReservesMemoryOnlyForPromptsBeyondOneEngine)
 {
   AddEngines(8);
   const auto choice = Choose(LongRequest(800'000));
-  CHECK_TRUE(choice->heldTokens_ > 0);
+  CHECK_TRUE(choice->reservedTokens_ > 0);
   const auto holders = choice->helpers_.size() + 1;
-  CHECK_TRUE(choice->heldTokens_ * holders >= 800'800);
+  CHECK_TRUE(choice->reservedTokens_ * holders >= 800'800);
   CHECK_TRUE(choice->cost_.memoryTokens_ <= 405'000);
 }
 
@@ -221,7 +221,7 @@
 TEST(FleetPlacementTest, UsesAnAvoidedEngineOnlyAsALastResort)
 {
   AddEngines(2);
-  candidates_[0].setAside_ = true;
+  candidates_[0].avoided_ = true;
   STRCMP_EQUAL("1", Choose(ShortRequest())->endpoint_->id_.c_str());
   candidates_[1].tried_ = true;
   STRCMP_EQUAL("0", Choose(ShortRequest())->endpoint_->id_.c_str());
@@ -245,36 +245,36 @@
 
 TEST_GROUP(LongHoldTest)
 {
-  HoldQuestion question_{ .wait_ = 900ms,
-                          .read_ = 3s,
-                          .waited_ = 0ms,
-                          .remaining_ = 15s,
-                          .patience_ = 12s };
+  HoldInput question_{ .wait_ = 900ms,
+                       .prefill_ = 3s,
+                       .sinceArrival_ = 0ms,
+                       .remaining_ = 15s,
+                       .callerStallTimeout_ = 12s };
 
-  HoldVerdict Evaluate() const
+  HoldDecision Evaluate() const
   {
-    return HoldLong(question_, HoldOptions{});
+    return DecideLongPromptHold(question_, HoldOptions{});
   }
 };
 
 TEST(LongHoldTest, HoldsALongPrefillButNotAShortOne)
 {
-  CHECK_TRUE(Evaluate() == HoldVerdict::kHold);
+  CHECK_TRUE(Evaluate() == HoldDecision::kHold);
   question_.wait_ = 300ms;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kHold);
-  question_.read_ = 300ms;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kSend);
+  CHECK_TRUE(Evaluate() == HoldDecision::kHold);
+  question_.prefill_ = 300ms;
+  CHECK_TRUE(Evaluate() == HoldDecision::kSend);
 }
 
 TEST(LongHoldTest, YieldsToPromptsThatCanStillBeInTime)
 {
   question_.wait_ = 150ms;
-  question_.read_ = 1s;
-  question_.part_ = 500ms;
+  question_.prefill_ = 1s;
+  question_.partialPrefill_ = 500ms;
   question_.objective_ = 3s;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kSend);
-  question_.waited_ = 2'600ms;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kHold);
+  CHECK_TRUE(Evaluate() == HoldDecision::kSend);
+  question_.sinceArrival_ = 2'600ms;
+  CHECK_TRUE(Evaluate() == HoldDecision::kHold);
 }
 
 // A host that has just started receives the first load messages a moment later.
@@ -282,19 +282,19 @@
 {
   question_.wait_ = 0ms;
   question_.objective_ = 3s;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kSend);
-  question_.blind_ = true;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kHold);
-  question_.waited_ = 700ms; // no message arrives: it may be disconnected
-  CHECK_TRUE(Evaluate() == HoldVerdict::kSend);
+  CHECK_TRUE(Evaluate() == HoldDecision::kSend);
+  question_.peerLoadUnknown_ = true;
+  CHECK_TRUE(Evaluate() == HoldDecision::kHold);
+  question_.sinceArrival_ = 700ms; // no message arrives: it may be disconnected
+  CHECK_TRUE(Evaluate() == HoldDecision::kSend);
 }
 
 TEST(LongHoldTest, SendsAPromptBeforeItsCallerTimesOut)
 {
-  question_.waited_ = 11s;
+  question_.sinceArrival_ = 11s;
   question_.remaining_ = 4s;
   question_.wait_ = 140ms;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kSend);
+  CHECK_TRUE(Evaluate() == HoldDecision::kSend);
 }
 
 // Guards against a large prompt that is held during a burst until its caller
@@ -303,15 +303,15 @@
 // time allows, and then rejected.
 TEST(LongHoldTest, RejectsALargePromptWhileItsCallerCanStillRetry)
 {
-  question_.read_ = 27s;
-  question_.part_ = 1'700ms;
-  question_.waited_ = 9s;
+  question_.prefill_ = 27s;
+  question_.partialPrefill_ = 1'700ms;
+  question_.sinceArrival_ = 9s;
   question_.remaining_ = 6s;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kHold);
-  question_.waited_ = 9'200ms;
+  CHECK_TRUE(Evaluate() == HoldDecision::kHold);
+  question_.sinceArrival_ = 9'200ms;
   question_.remaining_ = 5'800ms;
-  CHECK_TRUE(Evaluate() == HoldVerdict::kGiveUp);
-  CHECK_TRUE(LatestReturnOf(question_.remaining_) > 1'900ms);
+  CHECK_TRUE(Evaluate() == HoldDecision::kReject);
+  CHECK_TRUE(MaxRetryDelay(question_.remaining_) > 1'900ms);
 }
 
 TEST_GROUP(RouteAdmissionTest){};
@@ -320,22 +320,23 @@
 // is about to time out.
 TEST(RouteAdmissionTest, RefusesRequestsThatWereHeldTooLong)
 {
-  AdmissionQuestion question{
-    .predicted_ = 3s, .remaining_ = 6s, .patience_ = 12s, .held_ = 8s
+  AdmissionInput question{
+    .predicted_ = 3s, .remaining_ = 6s, .callerStallTimeout_ = 12s, .held_ = 8s
   };
-  CHECK_FALSE(RefuseFor(question).has_value());
+  CHECK_FALSE(RetryDelayIfRefused(question).has_value());
   question.held_ = 10s;
-  CHECK_TRUE(RefuseFor(question).has_value());
+  CHECK_TRUE(RetryDelayIfRefused(question).has_value());
 }
 
 TEST(RouteAdmissionTest, RefusesUnservableRequestsWithARetryDelay)
 {
-  AdmissionQuestion question{
-    .predicted_ = 1s, .remaining_ = 10s, .patience_ = 2s, .draw_ = 12345
-  };
-  CHECK_FALSE(RefuseFor(question).has_value());
+  AdmissionInput question{ .predicted_ = 1s,
+                           .remaining_ = 10s,
+                           .callerStallTimeout_ = 2s,
+                           .draw_ = 12345 };
+  CHECK_FALSE(RetryDelayIfRefused(question).has_value());
   question.predicted_ = 3s;
-  const auto wait = RefuseFor(question);
+  const auto wait = RetryDelayIfRefused(question);
   CHECK_TRUE(*wait >= 1'400ms && *wait < 2'800ms);
 }
 
@@ -405,7 +406,7 @@
   };
   const double sums = score({ .far_ = bench::PassFar::kSums });
   CHECK_TRUE(sums > score({ .far_ = bench::PassFar::kAll }) - 0.03);
-  CHECK_TRUE(sums > score({ .placement_ = { .alikeShare_ = 0 },
+  CHECK_TRUE(sums > score({ .placement_ = { .tieMarginShare_ = 0 },
                             .far_ = bench::PassFar::kSums }) +
                       0.05);
   CHECK_TRUE(sums > score({ .far_ = bench::PassFar::kNone }) + 0.2);
@@ -421,9 +422,10 @@
   constexpr double kLoad = 1.8;
   const double served = ScoreOf(kLoad, {});
   CHECK_TRUE(served > 0.66);
-  CHECK_TRUE(ScoreOf(kLoad, { .placement_ = { .heldHarm_ = 0 } }) <
+  CHECK_TRUE(ScoreOf(kLoad, { .placement_ = { .waitPenaltyShare_ = 0 } }) <
              served - 0.05);
-  CHECK_TRUE(ScoreOf(kLoad, { .hold_ = { .lateFactor_ = 1 } }) < served);
+  CHECK_TRUE(ScoreOf(kLoad, { .hold_ = { .missedObjectiveFactor_ = 1 } }) <
+             served);
   CHECK_TRUE(ScoreOf(kLoad, { .defers_ = false }) < served);
 }
 
@@ -446,5 +448,5 @@
   };
   const double spread = score({});
   CHECK_TRUE(spread > 0.99);
-  CHECK_TRUE(score({ .placement_ = { .spareForShort_ = 0 } }) < spread);
+  CHECK_TRUE(score({ .placement_ = { .spareForShortShare_ = 0 } }) < spread);
 }
--- a/test/core/gooseberrylift-load-word-test.cc
+++ b/test/core/gooseberrylift-load-message-test.cc
@@ -1,17 +1,17 @@
-#include "gooseberrylift/membership/gooseberrylift-load-word.h"
-#include "gooseberrylift/membership/gooseberrylift-word-pace.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message-pacer.h"
+#include "gooseberrylift/membership/gooseberrylift-load-message.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace gooseberrylift;
 using namespace std::chrono_literals;
 
-TEST_GROUP(LoadMessageTest){ static LoadWord Message(int aShares){
-  LoadWord message{ .host_ = "entry-1", .sequence_ = 1'781'606'139'000'001 };
+TEST_GROUP(LoadMessageTest){ static LoadMessage Message(int aShares){
+  LoadMessage message{ .host_ = "entry-1", .sequence_ = 1'781'606'139'000'001 };
 for (int index = 0; index < aShares; ++index) {
   message.shares_.push_back({ .id_ = "engine-" + std::to_string(index),
                               .running_ = index,
-                              .tight_ = 1,
+                              .tightGap_ = 1,
                               .memoryTokens_ = 380'000,
                               .backlog_ = 1'500ms,
                               .deferred_ = 2,
@@ -24,12 +24,12 @@
 
 TEST(LoadMessageTest, RoundTrips)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Message(3));
+  const std::vector<std::string> datagrams = EncodeLoadMessage(Message(3));
   LONGS_EQUAL(1, datagrams.size());
-  const auto message = DecodeLoadWord(datagrams.front());
+  const auto message = DecodeLoadMessage(datagrams.front());
   STRCMP_EQUAL("entry-1", message->host_.c_str());
   CHECK_TRUE(message->sequence_ == 1'781'606'139'000'001);
-  CHECK_TRUE(message->part_ == LoadWordPart::kFirst);
+  CHECK_TRUE(message->kind_ == LoadMessageKind::kSnapshot);
   LONGS_EQUAL(3, message->shares_.size());
   const EndpointShare& share = message->shares_.back();
   STRCMP_EQUAL("engine-2", share.id_.c_str());
@@ -42,20 +42,21 @@
 
 TEST(LoadMessageTest, EncodesAnEmptyLoad)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Message(0));
+  const std::vector<std::string> datagrams = EncodeLoadMessage(Message(0));
   LONGS_EQUAL(1, datagrams.size());
-  LONGS_EQUAL(0, DecodeLoadWord(datagrams.front())->shares_.size());
+  LONGS_EQUAL(0, DecodeLoadMessage(datagrams.front())->shares_.size());
 }
 
 TEST(LoadMessageTest, SplitsALongMessageIntoPackets)
 {
-  const std::vector<std::string> datagrams = EncodeLoadWord(Message(78));
+  const std::vector<std::string> datagrams = EncodeLoadMessage(Message(78));
   std::size_t shares = 0;
   for (const std::string& datagram : datagrams) {
     CHECK_TRUE(datagram.size() <= 1'400);
-    const auto message = DecodeLoadWord(datagram);
-    CHECK_TRUE(message->part_ ==
-               (shares == 0 ? LoadWordPart::kFirst : LoadWordPart::kMore));
+    const auto message = DecodeLoadMessage(datagram);
+    CHECK_TRUE(message->kind_ == (shares == 0
+                                    ? LoadMessageKind::kSnapshot
+                                    : LoadMessageKind::kSnapshotContinued));
     shares += message->shares_.size();
   }
   LONGS_EQUAL(78, shares);
@@ -63,35 +64,36 @@
 
 TEST(LoadMessageTest, RejectsInvalidDatagrams)
 {
-  CHECK_FALSE(DecodeLoadWord("").has_value());
-  CHECK_FALSE(DecodeLoadWord("hello").has_value());
-  const std::string datagram = EncodeLoadWord(Message(3)).front();
+  CHECK_FALSE(DecodeLoadMessage("").has_value());
+  CHECK_FALSE(DecodeLoadMessage("hello").has_value());
+  const std::string datagram = EncodeLoadMessage(Message(3)).front();
   for (std::size_t size = 0; size < datagram.size(); ++size) {
-    CHECK_FALSE(DecodeLoadWord(datagram.substr(0, size)).has_value());
+    CHECK_FALSE(DecodeLoadMessage(datagram.substr(0, size)).has_value());
   }
 }
 
 TEST(LoadMessageTest, RoundTripsTheZone)
 {
-  LoadWord message = Message(60);
+  LoadMessage message = Message(60);
   message.zone_ = "a-zone-with-a-long-name";
-  message.passOn_ = true;
-  for (const std::string& datagram : EncodeLoadWord(message)) {
+  message.relayToZone_ = true;
+  for (const std::string& datagram : EncodeLoadMessage(message)) {
     CHECK_TRUE(datagram.size() <= 1'400);
-    const auto decoded = DecodeLoadWord(datagram);
+    const auto decoded = DecodeLoadMessage(datagram);
     STRCMP_EQUAL("a-zone-with-a-long-name", decoded->zone_.c_str());
-    CHECK_TRUE(decoded->passOn_);
+    CHECK_TRUE(decoded->relayToZone_);
   }
-  CHECK_TRUE(DecodeLoadWord(EncodeLoadWord(Message(1)).front())->zone_.empty());
+  CHECK_TRUE(
+    DecodeLoadMessage(EncodeLoadMessage(Message(1)).front())->zone_.empty());
 }
 
 // A relayed datagram must keep its kind: if a continuation were re-encoded as a
 // first datagram, receivers would replace everything received before it.
 TEST(LoadMessageTest, ReencodesARelayedDatagramUnchanged)
 {
-  for (const std::string& datagram : EncodeLoadWord(Message(70))) {
-    const auto message = DecodeLoadWord(datagram);
-    const std::vector<std::string> reencoded = EncodeLoadWord(*message);
+  for (const std::string& datagram : EncodeLoadMessage(Message(70))) {
+    const auto message = DecodeLoadMessage(datagram);
+    const std::vector<std::string> reencoded = EncodeLoadMessage(*message);
     LONGS_EQUAL(1, reencoded.size());
     CHECK_TRUE(reencoded.front() == datagram);
   }
@@ -99,16 +101,17 @@
 
 TEST(LoadMessageTest, RoundTripsADelta)
 {
-  LoadWord message = Message(17);
-  message.part_ = LoadWordPart::kChange;
-  const std::vector<std::string> datagrams = EncodeLoadWord(message);
+  LoadMessage message = Message(17);
+  message.kind_ = LoadMessageKind::kDelta;
+  const std::vector<std::string> datagrams = EncodeLoadMessage(message);
   LONGS_EQUAL(1, datagrams.size());
-  CHECK_TRUE(DecodeLoadWord(datagrams.front())->part_ == LoadWordPart::kChange);
+  CHECK_TRUE(DecodeLoadMessage(datagrams.front())->kind_ ==
+             LoadMessageKind::kDelta);
 }
 
 TEST_GROUP(LoadMessagePacerTest)
 {
-  WordPace pace_{ WordPace::Options{} };
+  LoadMessagePacer pace_{ LoadMessagePacer::Options{} };
   TimePoint now_{ 1000s };
 
   int CountSentDeltas(
@@ -117,8 +120,8 @@
     int sent = 0;
     for (int delta = 0; delta < aCount; ++delta) {
       now_ += aInterval;
-      if (pace_.MayTell(now_, aPeers)) {
-        pace_.OnTold(now_, aPeers);
+      if (pace_.MaySendDelta(now_, aPeers)) {
+        pace_.OnDeltaSent(now_, aPeers);
         ++sent;
       }
     }
@@ -128,10 +131,10 @@
 
 TEST(LoadMessagePacerTest, SendsTheFirstSnapshotAtOnceAndDelaysTheNext)
 {
-  CHECK_TRUE(pace_.DueAt(now_, 8) == now_);
-  pace_.OnSent(now_);
-  CHECK_TRUE(pace_.DueAt(now_ + 1ms, 8) > now_ + 10ms);
-  CHECK_TRUE(pace_.DueAt(now_ + 1ms, 8) < now_ + 30ms);
+  CHECK_TRUE(pace_.NextSnapshotTime(now_, 8) == now_);
+  pace_.OnSnapshotSent(now_);
+  CHECK_TRUE(pace_.NextSnapshotTime(now_ + 1ms, 8) > now_ + 10ms);
+  CHECK_TRUE(pace_.NextSnapshotTime(now_ + 1ms, 8) < now_ + 30ms);
 }
 
 // A host in a fleet of 91 places about three requests a second, sometimes a few
@@ -159,8 +162,8 @@
 
 TEST(LoadMessagePacerTest, RepeatsASnapshotThatMayBeLost)
 {
-  pace_.OnSent(now_);
-  CHECK_FALSE(pace_.MustRepeat(now_ + 200ms, 8));
-  CHECK_TRUE(pace_.MustRepeat(now_ + 300ms, 8));
-  CHECK_FALSE(pace_.MustRepeat(now_ + 300ms, 300));
+  pace_.OnSnapshotSent(now_);
+  CHECK_FALSE(pace_.IsRepeatDue(now_ + 200ms, 8));
+  CHECK_TRUE(pace_.IsRepeatDue(now_ + 300ms, 8));
+  CHECK_FALSE(pace_.IsRepeatDue(now_ + 300ms, 300));
 }
--- a/test/core/gooseberrylift-pass-engine-test.cc
+++ b/test/core/gooseberrylift-pass-engine-test.cc
@@ -14,14 +14,14 @@
 
 constexpr std::int64_t kSecond = 1'000'000;
 
-EngineFigures SmallEngine()
+EngineProfile SmallEngine()
 {
   return { .slots_ = 2,
            .memoryTokens_ = 10'000,
            .stepMs_ = 1,
-           .readTokensPerMs_ = 100,
-           .readTokensPerStep_ = 1'000,
-           .stride_ = 10 };
+           .prefillTokensPerMs_ = 100,
+           .prefillTokensPerStep_ = 1'000,
+           .stepsPerPass_ = 10 };
 }
 
 } // namespace
--- a/test/core/gooseberrylift-peer-groups-test.cc
+++ b/test/core/gooseberrylift-peer-groups-test.cc
@@ -36,7 +36,7 @@
   LONGS_EQUAL(22, groups.words_.near_.size());
   CHECK_TRUE(groups.words_.far_.empty());
   LONGS_EQUAL(4, groups.zoneHosts_.size());
-  LONGS_EQUAL(3, DrawPeers(groups, random_).size());
+  LONGS_EQUAL(3, SamplePeers(groups, random_).size());
 }
 
 TEST(PeerGroupsTest, SeparatesTheOwnZoneFromOthersInALargeFleet)
@@ -47,7 +47,7 @@
   LONGS_EQUAL(4, groups.words_.far_.size());
   LONGS_EQUAL(20, groups.words_.far_.at("zone-3").size());
   CHECK_TRUE(groups.words_.rank_ + groups.words_.successors_.size() <= 19);
-  const std::vector<PeerMember> sample = DrawPeers(groups, random_);
+  const std::vector<PeerMember> sample = SamplePeers(groups, random_);
   LONGS_EQUAL(2, sample.size());
   CHECK_TRUE(groups.zoneHosts_.contains(sample.front().host_));
   CHECK_FALSE(groups.zoneHosts_.contains(sample.back().host_));
--- a/test/core/gooseberrylift-peer-table-test.cc
+++ b/test/core/gooseberrylift-peer-table-test.cc
@@ -57,7 +57,7 @@
     }
     for (std::size_t host = 0; host < tables_.size(); ++host) {
       if (!stopped_[host]) {
-        ExchangeAll(host, tables_[host]->PickPeers());
+        ExchangeAll(host, tables_[host]->SelectPeers());
       }
     }
   }
@@ -98,7 +98,7 @@
 private:
   void Refresh(std::size_t aHost)
   {
-    tables_[aHost]->SetOwn({ .generation_ = generations_[aHost] }, now_);
+    tables_[aHost]->BeginRound({ .generation_ = generations_[aHost] }, now_);
   }
 
   void Learn(std::size_t aHost, std::uint64_t aGeneration)
@@ -109,7 +109,7 @@
     generations_[aHost] = aGeneration;
     Refresh(aHost);
     if (pushNews_) {
-      ExchangeAll(aHost, tables_[aHost]->PickForNews(3));
+      ExchangeAll(aHost, tables_[aHost]->SelectOutdatedPeers(3));
     }
   }
 
@@ -220,7 +220,7 @@
   }
   for (std::size_t host = 0; host < 295; ++host) {
     CHECK_TRUE(fleet.At(host).Known().size() < 200);
-    LONGS_EQUAL(294, fleet.At(host).FleetSize());
+    LONGS_EQUAL(294, fleet.At(host).EstimateOtherHosts());
   }
 }
 
@@ -253,10 +253,10 @@
 {
   PeerTable table({ .host_ = "a", .zone_ = "z" });
   const TimePoint start{ seconds(1000) };
-  table.SetOwn({}, start);
+  table.BeginRound({}, start);
   table.OnMessage({ .from_ = { .host_ = "b", .zone_ = "z", .sequence_ = 1 } },
                   start);
-  table.SetOwn({}, start + seconds(60));
+  table.BeginRound({}, start + seconds(60));
   LONGS_EQUAL(1, table.Live(start + seconds(60)).size());
 }
 
@@ -265,7 +265,7 @@
 {
   PeerTable table({ .host_ = "a", .zone_ = "z" });
   const TimePoint now{ seconds(1000) };
-  table.SetOwn({}, now);
+  table.BeginRound({}, now);
   Digest peerDigest{
     .host_ = "b", .zone_ = "z", .incarnation_ = 2, .sequence_ = 7
   };
--- a/test/core/gooseberrylift-fleet-view-test.cc
+++ b/test/core/gooseberrylift-peer-visibility-test.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/routing/gooseberrylift-fleet-view.h"
+#include "gooseberrylift/routing/gooseberrylift-peer-visibility.h"
 
 #include <algorithm>
 #include <map>
@@ -13,25 +13,25 @@
 using namespace gooseberrylift;
 using namespace std::chrono_literals;
 
-TEST_GROUP(FleetViewTest)
+TEST_GROUP(PeerVisibilityTest)
 {
   TimePoint start_{ 1000s };
-  FleetView view_{ FleetView::Options{}, start_ };
+  PeerVisibility view_{ PeerVisibility::Options{}, start_ };
 };
 
-TEST(FleetViewTest, ExpectsPeersForAWhileAfterItsStart)
+TEST(PeerVisibilityTest, ExpectsPeersForAWhileAfterItsStart)
 {
-  CHECK_TRUE(view_.IsBlind(start_ + 500ms));
-  CHECK_FALSE(view_.IsBlind(start_ + 2s)); // no peers were found
+  CHECK_TRUE(view_.IsPeerLoadUnknown(start_ + 500ms));
+  CHECK_FALSE(view_.IsPeerLoadUnknown(start_ + 2s)); // no peers were found
 }
 
-TEST(FleetViewTest, KnowsThePeerLoadFromTheFirstMessage)
+TEST(PeerVisibilityTest, KnowsThePeerLoadFromTheFirstMessage)
 {
   view_.OnPeersKnown(8);
-  CHECK_TRUE(view_.IsBlind(start_ + 5s));
-  view_.OnWord(start_ + 5s);
-  CHECK_FALSE(view_.IsBlind(start_ + 6s));
-  CHECK_TRUE(view_.IsBlind(start_ + 8s));
+  CHECK_TRUE(view_.IsPeerLoadUnknown(start_ + 5s));
+  view_.OnLoadMessage(start_ + 5s);
+  CHECK_FALSE(view_.IsPeerLoadUnknown(start_ + 6s));
+  CHECK_TRUE(view_.IsPeerLoadUnknown(start_ + 8s));
 }
 
 namespace {
@@ -46,16 +46,16 @@
   for (int index = 0; index < kEngines; ++index) {
     engines.push_back({ .id_ = std::to_string(index), .slots_ = 16 });
   }
-  const EngineFigures profile{ .slots_ = 16,
+  const EngineProfile profile{ .slots_ = 16,
                                .stepMs_ = 1,
-                               .readTokensPerMs_ = 250,
-                               .stride_ = 46,
-                               .usualAnswerTokens_ = 1500 };
+                               .prefillTokensPerMs_ = 250,
+                               .stepsPerPass_ = 46,
+                               .typicalAnswerTokens_ = 1500 };
   PlacementRequest request{ .promptTokens_ = 5'000,
                             .answerTokens_ = 1'500,
                             .objective_ = 300ms,
                             .maxGap_ = 200ms,
-                            .blind_ = aPeerLoadUnknown };
+                            .peerLoadUnknown_ = aPeerLoadUnknown };
   const EnginePlacement placement{ EnginePlacement::Options{} };
   std::map<std::string, int> sent;
   std::mt19937_64 random(1);
@@ -89,7 +89,7 @@
 // Guards against full engines, where callers wait a second, after all hosts
 // restart together from a power failure. Hosts that assumed that they are alone
 // would all fill the first engines of the order.
-TEST(FleetViewTest, SpreadsShortRequestsWhilePeerLoadIsUnknown)
+TEST(PeerVisibilityTest, SpreadsShortRequestsWhilePeerLoadIsUnknown)
 {
   CHECK_TRUE(MaxRequestsPerEngine(false) > 16);
   CHECK_TRUE(MaxRequestsPerEngine(true) <= 14);
--- a/test/core/gooseberrylift-rate-schedules-test.cc
+++ b/test/core/gooseberrylift-rate-schedules-test.cc
@@ -190,20 +190,20 @@
     }
     if (aHost.permits_.Take(kEngine, now_)) {
       RecordArrival(aHost);
-    } else if (aHost.permits_.BeginAsking(kEngine, now_)) {
-      Ask(aHost);
+    } else if (aHost.permits_.TryBeginRequest(kEngine, now_)) {
+      RequestPermits(aHost);
     }
   }
 
-  void Ask(Host& aHost)
+  void RequestPermits(Host& aHost)
   {
     const std::string granter = schedule_.selfGranting_
                                   ? aHost.name_
-                                  : GranterOf(kEngine, KnownHosts(aHost));
+                                  : ChooseGranter(kEngine, KnownHosts(aHost));
     Host* requester = &aHost;
     if (RandomChance(0.05)) { // the permit request or its response is lost
       RunAfter(300ms, [this, requester] {
-        requester->permits_.OnUnanswered(kEngine, now_);
+        requester->permits_.OnRequestFailed(kEngine, now_);
       });
       return;
     }
@@ -221,18 +221,18 @@
     const bool grants =
       IsRunning(*found) &&
       (schedule_.selfGranting_ ||
-       GranterOf(kEngine, KnownHosts(*found)) == found->name_);
+       ChooseGranter(kEngine, KnownHosts(*found)) == found->name_);
     Host* requester = &aRequester;
     if (!grants) {
       RunAfter(300ms, [this, requester] {
-        requester->permits_.OnUnanswered(kEngine, now_);
+        requester->permits_.OnRequestFailed(kEngine, now_);
       });
       return;
     }
-    const RateVerdict grant = found->granter_->Ask(
+    const RateGrant grant = found->granter_->RequestPermits(
       kEngine, schedule_.perSecond_, schedule_.granters_, now_);
     RunAfter(RandomDuration(1ms, 60ms), [this, requester, grant] {
-      requester->permits_.OnVerdict(kEngine, grant, now_);
+      requester->permits_.OnGrant(kEngine, grant, now_);
     });
   }
 
--- a/test/core/gooseberrylift-scheduler-test.cc
+++ b/test/core/gooseberrylift-scheduler-test.cc
@@ -80,7 +80,7 @@
     for (int index = 0; index < 100; ++index) {
       RequestInfo request = Request(100);
       request.excluded_.push_back("engine-0");
-      request.freeRetry_ = aFree;
+      request.exemptFromRetryBudget_ = aFree;
       scheduler.OnRequest(request, now_);
       for (const SchedulerAction& action : scheduler.TakeActions()) {
         refused +=
@@ -107,7 +107,7 @@
       if (!aFree) {
         request.excluded_.push_back("engine-0");
       }
-      request.freeRetry_ = aFree;
+      request.exemptFromRetryBudget_ = aFree;
       scheduler.OnRequest(request, now_);
       for (const SchedulerAction& action : scheduler.TakeActions()) {
         refused +=
--- a/test/core/gooseberrylift-read-turn-test.cc
+++ b/test/core/gooseberrylift-store-read-schedule-test.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 
 #include <algorithm>
 #include <optional>
@@ -15,11 +15,11 @@
 
 TEST_GROUP(StoreReadScheduleTest)
 {
-  ReadTurn schedule_{ ReadTurn::Options{} };
+  StoreReadSchedule schedule_{ StoreReadSchedule::Options{} };
   TimePoint now_{ 1000s };
 
   milliseconds TimeUntilDue(std::optional<milliseconds> aAge,
-                            const ReadRank& aRank)
+                            const ReaderRank& aRank)
   {
     return schedule_.DueIn(now_, aAge, aRank);
   }
@@ -28,15 +28,15 @@
 TEST(StoreReadScheduleTest, IsDueAtOnceWithoutAnyKnownRead)
 {
   CHECK_TRUE(TimeUntilDue(std::nullopt, {}) <= 0ms);
-  const ReadRank last{ .hosts_ = 300, .rank_ = 299, .before_ = 299 };
+  const ReaderRank last{ .hosts_ = 300, .rank_ = 299, .reachableBefore_ = 299 };
   CHECK_TRUE(TimeUntilDue(std::nullopt, last) <= 0ms);
 }
 
 TEST(StoreReadScheduleTest,
      MakesTheFirstHostReadEachSecondAndOthersOnlyIfItDoesNot)
 {
-  const ReadRank first{ .hosts_ = 6 };
-  const ReadRank third{ .hosts_ = 6, .rank_ = 2, .before_ = 2 };
+  const ReaderRank first{ .hosts_ = 6 };
+  const ReaderRank third{ .hosts_ = 6, .rank_ = 2, .reachableBefore_ = 2 };
   LONGS_EQUAL(0, TimeUntilDue(1'000ms, first).count());
   CHECK_TRUE(TimeUntilDue(1'300ms, third) > 0ms);
   CHECK_TRUE(TimeUntilDue(2'000ms, third) <= 0ms);
@@ -44,16 +44,16 @@
 
 TEST(StoreReadScheduleTest, TakesOverFromHostsThatLostTheStore)
 {
-  const std::vector<ReadCandidate> others = {
+  const std::vector<ReaderCandidate> others = {
     { .host_ = "a", .storeUnreachable_ = true },
     { .host_ = "b", .storeUnreachable_ = true }
   };
   for (const char* self : { "c", "d", "e" }) {
-    LONGS_EQUAL(0, RankReaders({ .host_ = self }, others).before_);
+    LONGS_EQUAL(0, RankReaders({ .host_ = self }, others).reachableBefore_);
   }
   // It takes over later than the first host would read, and then reads each
   // second.
-  const ReadRank third{ .hosts_ = 3, .rank_ = 2, .before_ = 0 };
+  const ReaderRank third{ .hosts_ = 3, .rank_ = 2, .reachableBefore_ = 0 };
   CHECK_TRUE(TimeUntilDue(1'000ms, third) > 0ms);
   schedule_.OnRead(now_);
   LONGS_EQUAL(0, TimeUntilDue(1'000ms, third).count());
@@ -61,10 +61,11 @@
 
 TEST(StoreReadScheduleTest, RanksLastWhileStopping)
 {
-  const std::vector<ReadCandidate> others = { { .host_ = "a" },
-                                              { .host_ = "b" } };
-  const ReadRank rank = RankReaders({ .host_ = "c", .leaving_ = true }, others);
-  LONGS_EQUAL(2, rank.before_);
+  const std::vector<ReaderCandidate> others = { { .host_ = "a" },
+                                                { .host_ = "b" } };
+  const ReaderRank rank =
+    RankReaders({ .host_ = "c", .leaving_ = true }, others);
+  LONGS_EQUAL(2, rank.reachableBefore_);
   LONGS_EQUAL(1,
               RankReaders({ .host_ = "c" }, { { "a", false, true } }).hosts_);
 }
@@ -73,7 +74,7 @@
 {
   std::vector<std::size_t> ranks;
   for (int self = 0; self < 60; ++self) {
-    std::vector<ReadCandidate> others;
+    std::vector<ReaderCandidate> others;
     for (int host = 0; host < 60; ++host) {
       if (host != self) {
         others.push_back({ .host_ = "host-" + std::to_string(host) });
@@ -90,16 +91,16 @@
 
 TEST(StoreReadScheduleTest, LimitsTheFleetsRetryRateDuringAnOutage)
 {
-  const ReadRank first{ .hosts_ = 300 };
-  const ReadRank last{ .hosts_ = 300, .rank_ = 299 };
+  const ReaderRank first{ .hosts_ = 300 };
+  const ReaderRank last{ .hosts_ = 300, .rank_ = 299 };
   schedule_.OnFailed(now_, first);
   CHECK_TRUE(TimeUntilDue(9s, first) <= 500ms);
-  ReadTurn other{ ReadTurn::Options{} };
+  StoreReadSchedule other{ StoreReadSchedule::Options{} };
   other.OnFailed(now_, last);
   CHECK_TRUE(other.DueIn(now_, 9s, last) >= 60s);
-  CHECK_TRUE(schedule_.HasLostStore());
+  CHECK_TRUE(schedule_.IsStoreUnavailable());
   schedule_.OnRead(now_);
-  CHECK_FALSE(schedule_.HasLostStore());
+  CHECK_FALSE(schedule_.IsStoreUnavailable());
 }
 
 // The tests below simulate a fleet in virtual time. Each host exchanges its
@@ -113,7 +114,7 @@
 
 struct SimulatedHost
 {
-  ReadTurn schedule_{ ReadTurn::Options{} };
+  StoreReadSchedule schedule_{ StoreReadSchedule::Options{} };
   std::optional<TimePoint> latestRead_; // by any host, as known to this one
   bool canReachStore_ = true;
   bool isRunning_ = true;
@@ -154,9 +155,9 @@
 
 private:
   // A host's index is its rank.
-  ReadRank RankOf(std::size_t aHost) const
+  ReaderRank RankOf(std::size_t aHost) const
   {
-    ReadRank rank;
+    ReaderRank rank;
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
       const SimulatedHost& peer = hosts_[other];
       const bool isVisible = peer.isRunning_ && !peer.isPartitioned_ &&
@@ -164,7 +165,7 @@
       rank.hosts_ += isVisible ? 1 : 0;
       if (isVisible && other < aHost) {
         ++rank.rank_;
-        rank.before_ += peer.schedule_.HasLostStore() ? 0 : 1;
+        rank.reachableBefore_ += peer.schedule_.IsStoreUnavailable() ? 0 : 1;
       }
     }
     return rank;
@@ -181,7 +182,7 @@
   void Read(std::size_t aHost)
   {
     SimulatedHost& host = hosts_[aHost];
-    const ReadRank rank = RankOf(aHost);
+    const ReaderRank rank = RankOf(aHost);
     if (!host.isRunning_ ||
         host.schedule_.DueIn(now_, AgeOf(host), rank) > 0ms) {
       return;
@@ -311,9 +312,9 @@
 TEST(StoreReadScheduleTest, IsDueBeforeKeysAreRefusedAtAnyRank)
 {
   for (const std::size_t hosts : { 100, 300, 2'000 }) {
-    const ReadRank last{ .hosts_ = hosts,
-                         .rank_ = hosts - 1,
-                         .before_ = hosts - 1 };
+    const ReaderRank last{ .hosts_ = hosts,
+                           .rank_ = hosts - 1,
+                           .reachableBefore_ = hosts - 1 };
     CHECK_TRUE(TimeUntilDue(4'300ms, last) <= 0ms);
     CHECK_TRUE(TimeUntilDue(3'300ms, last) > 0ms);
   }
--- a/test/core/gooseberrylift-store-view-test.cc
+++ b/test/core/gooseberrylift-store-view-test.cc
@@ -17,7 +17,7 @@
 
   using Versions = std::map<std::string, std::string>; // versions by name
 
-  static ViewedObject Object(const std::string& aName,
+  static CachedObject Object(const std::string& aName,
                              const std::string& aVersion)
   {
     return { .name_ = aName, .version_ = aVersion, .spec_ = aVersion };
@@ -27,7 +27,7 @@
 TEST(StoreViewTest, ReturnsEverythingSinceRevisionZero)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
-  const ViewChanges changes = view_.Since(0);
+  const StoreDelta changes = view_.Since(0);
   LONGS_EQUAL(2, changes.names_->size());
   LONGS_EQUAL(2, changes.objects_.size());
   LONGS_EQUAL(10, changes.revision_);
@@ -36,10 +36,10 @@
 TEST(StoreViewTest, ReturnsOnlyChangesSinceARevision)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
-  view_.OnTold({ .revision_ = 12,
-                 .objects_ = { Object("c", "12") },
-                 .removed_ = { "a" } });
-  const ViewChanges changes = view_.Since(10);
+  view_.ApplyDelta({ .revision_ = 12,
+                     .objects_ = { Object("c", "12") },
+                     .removed_ = { "a" } });
+  const StoreDelta changes = view_.Since(10);
   CHECK_FALSE(changes.names_.has_value());
   LONGS_EQUAL(1, changes.objects_.size());
   STRCMP_EQUAL("c", changes.objects_.front().name_.c_str());
@@ -50,21 +50,22 @@
 TEST(StoreViewTest, ReportsWhatAListChanged)
 {
   view_.OnList({ Object("a", "3"), Object("b", "7") }, 10);
-  const ViewNews update = view_.OnList({ Object("b", "15") }, 20);
+  const ViewUpdate update = view_.OnList({ Object("b", "15") }, 20);
   LONGS_EQUAL(1, update.objects_.size());
   STRCMP_EQUAL("b", update.objects_.front().name_.c_str());
   LONGS_EQUAL(1, update.removed_.size());
   STRCMP_EQUAL("a", update.removed_.front().c_str());
-  const ViewChanges changes = view_.Since(10);
+  const StoreDelta changes = view_.Since(10);
   STRCMP_EQUAL("b", changes.objects_.front().name_.c_str());
   LONGS_EQUAL(1, changes.names_->size()); // "a" is not among them
 }
 
 TEST(StoreViewTest, IgnoresUpdatesOlderThanTheView)
 {
-  view_.OnTold({ .revision_ = 20, .objects_ = { Object("a", "20") } });
+  view_.ApplyDelta({ .revision_ = 20, .objects_ = { Object("a", "20") } });
   CHECK_TRUE(view_.OnList({}, 19).Empty());
-  CHECK_TRUE(view_.OnTold({ .revision_ = 19, .removed_ = { "a" } }).Empty());
+  CHECK_TRUE(
+    view_.ApplyDelta({ .revision_ = 19, .removed_ = { "a" } }).Empty());
   LONGS_EQUAL(20, view_.Revision());
   LONGS_EQUAL(1, view_.Since(0).objects_.size());
 }
@@ -74,8 +75,9 @@
   view_.OnList({ Object("keep", "1") }, 10);
   for (std::uint64_t revision = 11; revision < 20; ++revision) {
     const std::string name = std::to_string(revision);
-    view_.OnTold({ .revision_ = revision, .objects_ = { Object(name, name) } });
-    view_.OnTold({ .revision_ = revision, .removed_ = { name } });
+    view_.ApplyDelta(
+      { .revision_ = revision, .objects_ = { Object(name, name) } });
+    view_.ApplyDelta({ .revision_ = revision, .removed_ = { name } });
   }
   LONGS_EQUAL(1, view_.Since(10).names_->size());
   LONGS_EQUAL(0, view_.Since(10).objects_.size());
@@ -86,9 +88,9 @@
 TEST(StoreViewTest, ReportsARecreatedObjectAsPresent)
 {
   view_.OnList({ Object("a", "1") }, 10);
-  view_.OnTold({ .revision_ = 11, .removed_ = { "a" } });
-  view_.OnTold({ .revision_ = 12, .objects_ = { Object("a", "12") } });
-  const ViewChanges changes = view_.Since(10);
+  view_.ApplyDelta({ .revision_ = 11, .removed_ = { "a" } });
+  view_.ApplyDelta({ .revision_ = 12, .objects_ = { Object("a", "12") } });
+  const StoreDelta changes = view_.Since(10);
   LONGS_EQUAL(1, changes.objects_.size());
   LONGS_EQUAL(0, changes.removed_.size());
 }
@@ -103,7 +105,7 @@
   // "z" was removed at revision 11, after the first page.
   view_.OnList({ Object("a", "1") }, 10);
   view_.OnList({ Object("a", "1"), Object("b", "12") }, 12);
-  const ViewChanges changes = view_.Since(10);
+  const StoreDelta changes = view_.Since(10);
   CHECK_TRUE(changes.names_.has_value());
   LONGS_EQUAL(2, changes.names_->size());
 }
@@ -120,8 +122,8 @@
     StoreView view_{ StoreView::Options{ .maxRemovals_ = 3 } };
     Versions versions_; // built up from the updates that the view reported
   };
-  const auto record = [](Host& aHost, const ViewNews& aUpdate) {
-    for (const ViewedObject& object : aUpdate.objects_) {
+  const auto record = [](Host& aHost, const ViewUpdate& aUpdate) {
+    for (const CachedObject& object : aUpdate.objects_) {
       aHost.versions_[object.name_] = object.version_;
     }
     for (const std::string& removed : aUpdate.removed_) {
@@ -134,7 +136,7 @@
     std::uint64_t revision = 1;
     std::array<Host, kHosts> hosts;
     const auto list = [&](Host& aHost) {
-      std::vector<ViewedObject> objects;
+      std::vector<CachedObject> objects;
       for (const auto& [name, version] : store) {
         objects.push_back(Object(name, version));
       }
@@ -142,11 +144,11 @@
     };
     const auto fetch = [&](Host& aHost, const Host& aFrom) {
       if (aFrom.view_.Revision() > aHost.view_.Revision()) {
-        ViewChanges changes = aFrom.view_.Since(aHost.view_.Revision());
+        StoreDelta changes = aFrom.view_.Since(aHost.view_.Revision());
         if (random() % 4 == 0) {
           list(aHost); // the changes arrive after a newer list
         }
-        record(aHost, aHost.view_.OnTold(std::move(changes)));
+        record(aHost, aHost.view_.ApplyDelta(std::move(changes)));
       }
     };
     for (int step = 0; step < 300; ++step) {
--- a/test/core/gooseberrylift-team-limiter-test.cc
+++ b/test/core/gooseberrylift-team-limiter-test.cc
@@ -51,8 +51,9 @@
         const auto offset = random_() % static_cast<unsigned>(aHostCount(step));
         const auto host =
           (aFirstHost(step) + static_cast<int>(offset)) % kHosts;
-        const bool taken = limiters_[static_cast<std::size_t>(host)]->Take(
-          "team", kTokens, now_);
+        const bool taken =
+          limiters_[static_cast<std::size_t>(host)]->TryAcquire(
+            "team", kTokens, now_);
         passed += taken ? kTokens : 0;
       }
     }
@@ -153,5 +154,5 @@
 {
   TeamLimiter limiter({});
   limiter.SetLimits({ { "free", 0 } });
-  CHECK_TRUE(limiter.Take("free", 1'000'000, TimePoint{}));
+  CHECK_TRUE(limiter.TryAcquire("free", 1'000'000, TimePoint{}));
 }
--- a/test/core/gooseberrylift-zone-sums-test.cc
+++ b/test/core/gooseberrylift-zone-load-test.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/membership/gooseberrylift-zone-sums.h"
+#include "gooseberrylift/membership/gooseberrylift-zone-load.h"
 
 #include <map>
 #include <random>
@@ -7,7 +7,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "gooseberrylift/membership/gooseberrylift-read-turn.h"
+#include "gooseberrylift/membership/gooseberrylift-store-read-schedule.h"
 
 using namespace gooseberrylift;
 using namespace std::chrono_literals;
@@ -19,9 +19,9 @@
   return { .id_ = aId, .running_ = aRunning };
 }
 
-LoadWord ZoneMessage(const std::string& aHost, LoadWordPart aKind)
+LoadMessage ZoneMessage(const std::string& aHost, LoadMessageKind aKind)
 {
-  return { .host_ = aHost, .part_ = aKind, .zone_ = "there" };
+  return { .host_ = aHost, .kind_ = aKind, .zone_ = "there" };
 }
 
 // Returns two hosts of one zone in the order of their rank.
@@ -35,40 +35,42 @@
 
 TEST_GROUP(ZoneLoadAggregatorTest)
 {
-  ZoneSummer aggregator_{ ZoneSummer::Options{} };
+  ZoneLoadAggregator aggregator_{ ZoneLoadAggregator::Options{} };
   TimePoint now_{ 1000s };
 };
 
 TEST(ZoneLoadAggregatorTest, StartsWithASnapshot)
 {
-  const auto message = aggregator_.Next({ Share("a", 1), Share("b", 2) }, now_);
-  CHECK_TRUE(message->part_ == LoadWordPart::kFirst);
+  const auto message =
+    aggregator_.NextMessage({ Share("a", 1), Share("b", 2) }, now_);
+  CHECK_TRUE(message->kind_ == LoadMessageKind::kSnapshot);
   LONGS_EQUAL(2, message->shares_.size());
 }
 
 TEST(ZoneLoadAggregatorTest, SendsAChangeOnce)
 {
-  aggregator_.Next({ Share("a", 1), Share("b", 2) }, now_);
+  aggregator_.NextMessage({ Share("a", 1), Share("b", 2) }, now_);
   const std::vector<EndpointShare> updated = { Share("a", 1), Share("b", 3) };
-  const auto message = aggregator_.Next(updated, now_ + 100ms);
+  const auto message = aggregator_.NextMessage(updated, now_ + 100ms);
   LONGS_EQUAL(1, message->shares_.size());
   STRCMP_EQUAL("b", message->shares_.front().id_.c_str());
-  CHECK_FALSE(aggregator_.Next(updated, now_ + 200ms).has_value());
+  CHECK_FALSE(aggregator_.NextMessage(updated, now_ + 200ms).has_value());
 }
 
 TEST(ZoneLoadAggregatorTest, ReportsAnEndpointWithoutLoad)
 {
-  aggregator_.Next({ Share("a", 1) }, now_);
-  const auto message = aggregator_.Next({}, now_ + 50ms);
+  aggregator_.NextMessage({ Share("a", 1) }, now_);
+  const auto message = aggregator_.NextMessage({}, now_ + 50ms);
   LONGS_EQUAL(1, message->shares_.size());
   LONGS_EQUAL(0, message->shares_.front().running_);
 }
 
 TEST(ZoneLoadAggregatorTest, SendsHeartbeats)
 {
-  aggregator_.Next({ Share("a", 1) }, now_);
-  CHECK_FALSE(aggregator_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
-  const auto message = aggregator_.Next({ Share("a", 1) }, now_ + 300ms);
+  aggregator_.NextMessage({ Share("a", 1) }, now_);
+  CHECK_FALSE(
+    aggregator_.NextMessage({ Share("a", 1) }, now_ + 100ms).has_value());
+  const auto message = aggregator_.NextMessage({ Share("a", 1) }, now_ + 300ms);
   CHECK_TRUE(message.has_value() && message->shares_.empty());
 }
 
@@ -76,9 +78,10 @@
 // report of activity they would move requests away from a working engine.
 TEST(ZoneLoadAggregatorTest, ReportsActivityBeforeReceiversTreatAnEngineAsHung)
 {
-  aggregator_.Next({ Share("a", 1) }, now_);
-  CHECK_FALSE(aggregator_.Next({ Share("a", 1) }, now_ + 100ms).has_value());
-  const auto message = aggregator_.Next({ Share("a", 1) }, now_ + 550ms);
+  aggregator_.NextMessage({ Share("a", 1) }, now_);
+  CHECK_FALSE(
+    aggregator_.NextMessage({ Share("a", 1) }, now_ + 100ms).has_value());
+  const auto message = aggregator_.NextMessage({ Share("a", 1) }, now_ + 550ms);
   LONGS_EQUAL(1, message->shares_.size());
 }
 
@@ -86,10 +89,10 @@
 {
   EndpointShare share = Share("a", 1);
   share.backlog_ = 1s;
-  aggregator_.Next({ share }, now_);
+  aggregator_.NextMessage({ share }, now_);
   share.backlog_ = 900ms;
-  CHECK_FALSE(aggregator_.Next({ share }, now_ + 100ms).has_value());
-  const auto message = aggregator_.Next({ share }, now_ + 240ms);
+  CHECK_FALSE(aggregator_.NextMessage({ share }, now_ + 100ms).has_value());
+  const auto message = aggregator_.NextMessage({ share }, now_ + 240ms);
   LONGS_EQUAL(1, message->shares_.size());
 }
 
@@ -113,11 +116,11 @@
         totals.push_back(Share(id, running));
       }
     }
-    const auto message = aggregator_.Next(totals, now_);
+    const auto message = aggregator_.NextMessage(totals, now_);
     if (!message || random() % 5 == 0) {
       continue;
     }
-    if (message->part_ == LoadWordPart::kFirst) {
+    if (message->kind_ == LoadMessageKind::kSnapshot) {
       received.clear();
     }
     for (const EndpointShare& share : message->shares_) {
@@ -131,24 +134,24 @@
 
 TEST_GROUP(ZoneAggregatorRoleTest)
 {
-  ZoneTurn role_{ ZoneTurn::Options{} };
+  ZoneAggregatorRole role_{ ZoneAggregatorRole::Options{} };
   TimePoint now_{ 1000s };
 };
 
 TEST(ZoneAggregatorRoleTest, PassesToTheNextRankAfterSilence)
 {
-  role_.OnHeard(now_);
-  CHECK_TRUE(role_.IsOwn(now_, 0));
-  CHECK_FALSE(role_.IsOwn(now_ + 550ms, 1));
-  CHECK_TRUE(role_.IsOwn(now_ + 650ms, 1));
-  CHECK_FALSE(role_.IsOwn(now_ + 650ms, 2));
-  CHECK_TRUE(role_.IsOwn(now_ + 1'250ms, 2));
-  CHECK_FALSE(role_.IsOwn(now_ + 60s, 3));
+  role_.OnAggregateReceived(now_);
+  CHECK_TRUE(role_.IsAggregator(now_, 0));
+  CHECK_FALSE(role_.IsAggregator(now_ + 550ms, 1));
+  CHECK_TRUE(role_.IsAggregator(now_ + 650ms, 1));
+  CHECK_FALSE(role_.IsAggregator(now_ + 650ms, 2));
+  CHECK_TRUE(role_.IsAggregator(now_ + 1'250ms, 2));
+  CHECK_FALSE(role_.IsAggregator(now_ + 60s, 3));
 }
 
 TEST_GROUP(ZoneMessageFilterTest)
 {
-  ZoneSources filter_{ ZoneSources::Options{} };
+  ZoneMessageFilter filter_{ ZoneMessageFilter::Options{} };
   TimePoint now_{ 1000s };
 };
 
@@ -158,8 +161,8 @@
 TEST(ZoneMessageFilterTest, AcceptsOneAggregatorPerZone)
 {
   const auto [first, second] = TwoHostsByRank();
-  const auto snapshot = LoadWordPart::kFirst;
-  const auto delta = LoadWordPart::kChange;
+  const auto snapshot = LoadMessageKind::kSnapshot;
+  const auto delta = LoadMessageKind::kDelta;
   CHECK_FALSE(filter_.Accepts(ZoneMessage(second, delta), now_));
   CHECK_TRUE(filter_.Accepts(ZoneMessage(second, snapshot), now_));
   CHECK_TRUE(filter_.Accepts(ZoneMessage(first, snapshot), now_ + 10ms));
--- a/test/integration/gooseberrylift-dialect-test.cc
+++ b/test/integration/gooseberrylift-dialect-test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-RateNotice NoticeOf(const std::string& aText)
+AdvertisedRateLimit NoticeOf(const std::string& aText)
 {
   HttpResponse head{ .status_ = 200 };
   head.fields_.push_back({ kServerLimit, aText });
@@ -21,8 +21,8 @@
 
 void CheckNamed(double aPerSecond, const std::string& aText)
 {
-  const RateNotice notice = NoticeOf(aText);
-  CHECK_TRUE(notice.kind_ == RateNotice::Kind::kNamed);
+  const AdvertisedRateLimit notice = NoticeOf(aText);
+  CHECK_TRUE(notice.kind_ == AdvertisedRateLimit::Kind::kSpecified);
   DOUBLES_EQUAL(aPerSecond, notice.perSecond_, 1e-9);
 }
 
@@ -40,16 +40,16 @@
 
 TEST(DialectTest, ReadsNoRateLimitWhereNoneStands)
 {
-  const RateNotice absent =
+  const AdvertisedRateLimit absent =
     FleetDialect().ReadEndpoint(HttpResponse{ .status_ = 200 }).rate_;
-  CHECK_TRUE(absent.kind_ == RateNotice::Kind::kNone);
-  CHECK_TRUE(NoticeOf("").kind_ == RateNotice::Kind::kNone);
+  CHECK_TRUE(absent.kind_ == AdvertisedRateLimit::Kind::kNone);
+  CHECK_TRUE(NoticeOf("").kind_ == AdvertisedRateLimit::Kind::kNone);
 }
 
 TEST(DialectTest, TellsRateLimitsThatCannotBeReadFromNone)
 {
   for (const char* text :
        { "-1", "nan", "inf", "1e999", "two", "1.5x", "1,5", "1.5;q=2" }) {
-    CHECK_TRUE(NoticeOf(text).kind_ == RateNotice::Kind::kUnreadable);
+    CHECK_TRUE(NoticeOf(text).kind_ == AdvertisedRateLimit::Kind::kMalformed);
   }
 }
--- a/test/integration/gooseberrylift-endpoint-limit-test.cc
+++ b/test/integration/gooseberrylift-endpoint-limit-test.cc
@@ -170,7 +170,7 @@
   for (std::size_t host = 0; host < kHosts; ++host) {
     names.push_back("host-" + std::to_string(host));
   }
-  const std::string grants = GranterOf({ .id_ = "board-0" }, names);
+  const std::string grants = ChooseGranter({ .id_ = "board-0" }, names);
   const auto found = std::find(names.begin(), names.end(), grants);
   Host* lost = hosts[static_cast<std::size_t>(found - names.begin())];
   std::erase(hosts, lost);
--- a/test/integration/harness.cc
+++ b/test/integration/harness.cc
@@ -367,7 +367,7 @@
 
 std::string StreamText(const std::string& aBody, bool* aWhole)
 {
-  SseReader reader;
+  SseParser reader;
   reader.Feed(aBody);
   std::string text;
   *aWhole = false;
