--- a/include/gooseberrylift/gooseberrylift-job.h
+++ b/include/gooseberrylift/gooseberrylift-job.h
@@ -1,5 +1,5 @@
-// Jobs, work that may wait, as they stand in the store, and which of them a
-// host should take next.
+// Asynchronous jobs as stored in the object store, and the selection of the
+// next job that a host claims.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_JOB_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_JOB_H_
@@ -19,31 +19,31 @@
 
 enum class JobState
 {
-  kStoring, // its chunks are not all written yet; nobody was promised anything
+  kStoring, // chunks are still being written; not yet acknowledged
   kQueued,
   kRunning, // claimed under a lease
   kDone,
   kFailed
 };
 
-/// Gives the word for a state as callers see it.
+/// Returns the name of a state as it appears in responses and in the store.
 std::string JobStateName(JobState aState);
 
-// One job. Its request, and a long result, are compressed; what is too long
-// for the job's own object lies in chunks beside it.
+// One job. The request and long results are compressed; data that exceeds the
+// size limit of the job's object is stored in separate chunk objects.
 struct JobRecord
 {
   std::string team_;
-  std::string digest_; // of the request, to notice another one with the key
-  std::string target_; // path of the engines' API
+  std::string digest_; // of the request; detects reuse of the key
+  std::string target_; // request path in the engines' API
   JobState state_ = JobState::kQueued;
-  int claims_ = 0;     // how many hosts have begun it
-  std::string holder_; // nonce of the claim
+  int claims_ = 0;     // number of times the job was claimed
+  std::string holder_; // nonce of the current claim
   WallTime leaseUntil_{};
   WallTime expires_{};
-  std::string request_; // encoded; empty when in chunks
+  std::string request_; // encoded; empty if stored in chunks
   int requestChunks_ = 0;
-  std::string result_; // encoded; empty when in chunks
+  std::string result_; // encoded; empty if stored in chunks
   int resultChunks_ = 0;
   int code_ = 0; // result code of a failed job
   std::string reason_;
@@ -51,27 +51,28 @@
   static JobRecord Parse(const nlohmann::json& aSpec);
   nlohmann::json Spec() const;
 
-  /// Says whether the job ended, with a result or a reason.
-  bool Ended() const
+  /// Returns whether the job has completed or failed.
+  bool HasEnded() const
   {
     return state_ == JobState::kDone || state_ == JobState::kFailed;
   }
 
-  /// Says whether a host may claim the job: queued, or its holder's lease
-  /// lapsed. A holder that was only paused loses nothing but its work: its
-  /// conditional update fails.
+  /// Returns whether a host may claim the job: it is queued, or its holder's
+  /// lease has expired. If the former holder was only paused, its conditional
+  /// update fails and its work is discarded.
   bool Claimable(WallTime aNow) const;
 };
 
-// What a host knows of all jobs, from a list and a watch. Picks the team with
-// the fewest jobs running here, so that one team's thousand jobs don't hold up
-// another's one, and takes a job at random, so that hosts seldom race for one.
+// Local cache of all jobs, filled by a list and a watch of the store. Selects
+// the team with the fewest jobs running on this host, so that a team with a
+// thousand jobs does not delay a team with one, and a random job of that team,
+// so that hosts rarely compete for the same job.
 class JobBook
 {
 public:
   struct Options
   {
-    std::size_t maxWaitingPerTeam_ = 1000;
+    std::size_t maxQueuedPerTeam_ = 1000;
   };
 
   explicit JobBook(Options aOptions);
@@ -80,25 +81,25 @@
   void OnJob(const std::string& aId, const JobRecord& aRecord);
   void OnDeleted(const std::string& aId) { jobs_.erase(aId); }
 
-  /// Chooses a job to claim.
-  /// @param aRunning jobs that run here, by identifier
-  /// @param aRandom any number
+  /// Selects a job to claim.
+  /// @param aRunning teams of the jobs that run on this host, by job identifier
+  /// @param aRandom random number that selects among the team's jobs
   std::optional<std::string> Pick(
     const std::map<std::string, std::string>& aRunning,
     WallTime aNow,
     std::uint64_t aRandom) const;
 
-  /// Gives the team of a job; empty when it is not known.
+  /// Returns the team of a job, or an empty string if the job is unknown.
   std::string TeamOf(const std::string& aId) const;
 
-  /// Lists jobs that are past their expiry.
+  /// Lists the jobs whose expiry time has passed.
   std::vector<std::string> Expired(WallTime aNow) const;
 
-  /// Says whether a team may add a job.
+  /// Returns whether a team is below its limit of queued jobs.
   bool HasRoom(const std::string& aTeam) const;
 
 private:
-  struct View
+  struct JobSummary
   {
     std::string team_;
     JobState state_ = JobState::kQueued;
@@ -107,7 +108,7 @@
   };
 
   Options options_;
-  std::map<std::string, View> jobs_;
+  std::map<std::string, JobSummary> jobs_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/gooseberrylift-once-bucket.h
+++ b/include/gooseberrylift/gooseberrylift-once-bucket.h
@@ -1,5 +1,5 @@
-// The records of calls that may not be repeated, as they stand in one object of
-// the store. Whoever dispatches such a call has first written its intent here.
+// Records of at-most-once calls, as stored in one object of the store. An
+// intent is written to the record before the call is dispatched.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ONCE_BUCKET_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ONCE_BUCKET_H_
@@ -13,103 +13,109 @@
 
 namespace gooseberrylift {
 
-// Hosts compare these times with their own clocks. Their skew moves only how
-// long a record is waited for and kept; what runs never hangs on it.
+// Hosts compare these times with their own clocks. Clock skew affects only how
+// long a record is waited for and retained, never which calls run.
 using WallTime = std::chrono::system_clock::time_point;
 
 enum class OnceState
 {
-  kIntent, // its owner may dispatch the call, nobody else ever
-  kDone,   // ran; the outcome is recorded
-  kLost    // dispatched, and what came of it can't be known
+  kIntent, // only the owner may ever dispatch the call
+  kDone,   // the call ran and its outcome is recorded
+  kLost    // dispatched, but its outcome cannot be determined
 };
 
+// Record of one at-most-once call, stored under the digest of its key.
 struct OnceRecord
 {
-  std::string digest_; // of the request, to notice another one with the key
-  std::string nonce_;  // the attempt that owns the record
+  std::string digest_; // of the request; detects reuse of the key
+  std::string nonce_;  // of the attempt that owns the record
   OnceState state_ = OnceState::kIntent;
-  WallTime until_{};   // an intent: the end of its lease; else when it ended
-  std::string result_; // encoded by the runtime; empty when not kept
+  WallTime until_{};   // end of an intent's lease; else when the call ended
+  std::string result_; // encoded by the runtime; empty if not retained
 };
 
-// What a call wants to write before it is dispatched.
+// Intent that an attempt records before it dispatches its call.
 struct OnceIntent
 {
   std::string key_; // digest of team, service and the caller's key
   std::string digest_;
   std::string nonce_;
-  WallTime until_{};
+  WallTime until_{}; // end of the lease
 };
 
 enum class OnceVerdict
 {
-  kBegun,         // the intent is this attempt's own
-  kReplay,        // done; the result is at hand
-  kResultDropped, // done; the result is no longer kept
-  kPending,       // another attempt's intent, within its lease
-  kUnknown,       // another attempt's intent, and no outcome is to come
-  kOtherRequest,  // the key belongs to a different request
-  kFull           // no room for one more record
+  kBegun,         // the intent is recorded for this attempt
+  kReplay,        // the call ran; its result is returned
+  kResultDropped, // the call ran; its result is no longer retained
+  kPending,       // another attempt holds an intent with a valid lease
+  kUnknown,       // another attempt may have run; its outcome is unavailable
+  kOtherRequest,  // the key was already used for a different request
+  kFull           // the bucket has no space for another record
 };
 
+// Result of OnceBucket::Begin.
 struct OnceDecision
 {
   OnceVerdict verdict_ = OnceVerdict::kUnknown;
   std::string result_{};
-  bool changed_ = false; // the bucket must be written before this is true
+  bool changed_ = false; // takes effect only once the bucket is written
 };
 
-// A value: a committer changes a copy, writes it with a conditional update and
-// keeps the copy when the write took effect. An intent is given away once, to
-// its nonce, until it is released by the same nonce or swept after the
-// retention; that alone makes a call run at most once.
+// A value type: the committer modifies a copy, writes it with a conditional
+// update and keeps the copy if the write succeeded. A key belongs to the first
+// nonce that begins it, until that nonce releases it or the record is removed
+// after the retention period. This alone guarantees that a call runs at most
+// once.
 class OnceBucket
 {
 public:
   struct Options
   {
-    std::chrono::seconds retention_{ 86'400 }; // after a record's until_
-    std::size_t maxBytes_ = 768 * 1024;        // the store takes 1 MB
+    std::chrono::seconds retention_{ 86'400 }; // counted from a record's until_
+    std::size_t maxBytes_ = 768 * 1024; // the store's limit is 1 MB per object
   };
 
   explicit OnceBucket(Options aOptions);
 
-  /// Reads a bucket as the store holds it.
+  /// Parses the stored representation.
   static OnceBucket Parse(const nlohmann::json& aSpec, Options aOptions);
 
-  /// Gives the bucket as the store is to hold it.
+  /// Returns the representation to store.
   nlohmann::json Spec() const;
 
-  /// Claims a key for an attempt, or says why it can't.
+  /// Records an attempt's intent, or returns why the key is unavailable.
   OnceDecision Begin(const OnceIntent& aIntent, WallTime aNow);
 
-  /// Ends an attempt's own record.
+  /// Records the outcome of an attempt that owns an intent.
   /// @param aState kDone or kLost
-  /// @return true when the record changed
+  /// @return whether the record changed; false if the attempt owns no intent
   bool Finish(const std::string& aKey,
               const std::string& aNonce,
               OnceState aState,
               std::string aResult,
               WallTime aNow);
 
-  /// Removes an attempt's own intent, whose call was not dispatched.
-  /// @return true when it was there
+  /// Removes the intent of an attempt that did not dispatch its call.
+  /// @return whether the attempt owned an intent
   bool Release(const std::string& aKey, const std::string& aNonce);
 
-  /// Removes what is past its retention.
-  /// @return true when something was
+  /// Removes records whose retention period is over.
+  /// @return whether any record was removed
   bool Sweep(WallTime aNow);
 
+  /// Returns the number of records.
   std::size_t Size() const { return records_.size(); }
+
+  /// Returns the approximate size of the stored representation.
   std::size_t Bytes() const { return bytes_; }
 
-  /// Finds a record. @return null when there is none
+  /// Returns the record of a key, or null if there is none.
   const OnceRecord* Find(const std::string& aKey) const;
 
 private:
   using Records = std::map<std::string, OnceRecord>;
-  void Put(const std::string& aKey, OnceRecord aRecord);
+  void InsertOrReplace(const std::string& aKey, OnceRecord aRecord);
   Records::iterator Erase(Records::iterator aAt);
   void DropOldestResult();
 
--- a/include/gooseberrylift/gooseberrylift-once-committer.h
+++ b/include/gooseberrylift/gooseberrylift-once-committer.h
@@ -1,5 +1,6 @@
-// Group commit for one bucket: gathers what many calls want written, settles
-// lost answers and conflicts, and never has two writes under way.
+// Group commit for one bucket: batches the operations of concurrent calls,
+// recovers from lost responses and write conflicts, and never has two writes in
+// progress.
 
 #ifndef GOOSEBERRYLIFT_GOOSEBERRYLIFT_ONCE_COMMITTER_H_
 #define GOOSEBERRYLIFT_GOOSEBERRYLIFT_ONCE_COMMITTER_H_
@@ -25,22 +26,24 @@
   kRelease
 };
 
+// Operation on one record of the bucket.
 struct OnceOp
 {
-  std::uint64_t id_ = 0; // set by Submit
+  std::uint64_t id_ = 0; // assigned by Submit
   OnceOpKind kind_ = OnceOpKind::kBegin;
   OnceIntent intent_{};
   OnceState state_ = OnceState::kDone; // of kFinish
   std::string result_{};               // of kFinish
-  TimePoint deadline_{};               // when a reply is due at the latest
-  TimePoint writeAt_{}; // until then it only joins a write made for others
+  TimePoint deadline_{};               // latest time for the reply
+  TimePoint writeAt_{}; // until then, written only along with others
 };
 
+// Reply to a submitted operation.
 struct OnceReply
 {
   std::uint64_t id_ = 0;
-  bool committed_ = false; // false: the store could not be reached in time
-  OnceDecision decision_{};
+  bool committed_ = false;  // false: the store did not confirm it in time
+  OnceDecision decision_{}; // of kBegin
 };
 
 enum class OnceIoKind
@@ -50,19 +53,20 @@
   kUpdate
 };
 
-// A call to the store that the runtime is to make.
+// Store call that the runtime makes on behalf of the committer.
 struct OnceIo
 {
   OnceIoKind kind_ = OnceIoKind::kRead;
-  std::string version_{}; // of kUpdate
+  std::string version_{}; // expected version, of kUpdate
   nlohmann::json spec_{};
 };
 
-// The runtime submits operations, makes the calls that NextIo asks for, one at
-// a time, reports how each ended, and hands out the replies:
+// State machine without I/O. The runtime submits operations, makes the calls
+// that NextIo returns, one at a time, reports the result of each, and delivers
+// the replies:
 //
 //   committer.Submit(op);
-//   while (auto io = committer.NextIo(now, wall)) { ... On...(); }
+//   while (auto call = committer.NextIo(now, wall)) { ... On...(); }
 //   for (auto& reply : committer.TakeReplies()) { ... }
 class OnceCommitter
 {
@@ -70,71 +74,79 @@
   struct Options
   {
     OnceBucket::Options bucket_{};
-    std::size_t maxBatch_ = 256; // 1 turns group commit off
-    int maxTries_ = 3;           // failed calls before an intent is refused
-    std::chrono::milliseconds pause_{ 20 }; // after a failure, doubled each
-    std::chrono::milliseconds maxPause_{ 1000 };
-    std::chrono::minutes releaseFor_{ 10 }; // how long a release is tried
+    std::size_t maxBatch_ = 256; // 1 disables group commit
+    int maxFailedCalls_ = 3; // failed store calls until an intent is refused
+    std::chrono::milliseconds retryDelay_{ 20 }; // doubled after each failure
+    std::chrono::milliseconds maxRetryDelay_{ 1000 };
+    std::chrono::minutes releaseTimeout_{ 10 }; // of refused intents
   };
 
   explicit OnceCommitter(Options aOptions);
 
-  /// Queues an operation. @return its identifier
+  /// Queues an operation.
+  /// @return the operation's identifier
   std::uint64_t Submit(OnceOp aOp);
 
-  /// Says which call to make now. @return nothing while one is under way, when
-  /// there is no work, or before WakeAt()
+  /// Returns the next store call to make.
+  /// @return nothing while a call is in progress, when no operation is due, or
+  /// before WakeAt()
   std::optional<OnceIo> NextIo(TimePoint aNow, WallTime aWall);
 
-  /// The object was read, or is known to be absent.
+  /// The read returned the object.
   void OnRead(const std::string& aVersion, const nlohmann::json& aSpec);
+
+  /// The read found that the object does not exist.
   void OnAbsent();
 
-  /// The write took effect.
+  /// The write succeeded.
   void OnWritten(const std::string& aVersion, TimePoint aNow);
 
-  /// The write was refused, since another host wrote first.
+  /// The write was rejected because another host wrote the object first.
   void OnConflict();
 
-  /// The call failed. @param aRan whether a write may have taken effect
+  /// The call failed.
+  /// @param aRan whether a write may have taken effect
   void OnFailed(RanState aRan, TimePoint aNow);
 
-  /// Refuses intents whose time is over, also while a call is under way.
+  /// Refuses operations whose deadline has passed, also while a call is in
+  /// progress.
   void OnTick(TimePoint aNow);
 
+  /// Returns and clears the replies that have become available.
   std::vector<OnceReply> TakeReplies();
 
-  /// Says when to ask NextIo again, if it gave nothing and work is left.
+  /// Returns when to call NextIo again if it returned nothing while operations
+  /// are queued.
   std::optional<TimePoint> WakeAt() const;
 
-  /// Says whether any operation is queued or under way.
-  bool Busy() const { return !queue_.empty() || inFlight_; }
+  /// Returns whether any operation is queued or in progress.
+  bool HasPendingWork() const { return !queue_.empty() || inFlight_; }
 
 private:
   struct Entry
   {
     OnceOp op_;
-    int tries_ = 0;
-    bool refused_ = false;      // replied to; what it wrote must be undone
-    bool maybeWritten_ = false; // a write with it may have taken effect
+    int failedCalls_ = 0;
+    bool refused_ = false; // refusal was sent; a written intent is released
+    bool maybeWritten_ = false; // a failed write may have included it
     OnceDecision decision_{};
   };
 
-  bool AnyDue(TimePoint aNow) const;
+  bool HasDueOperation(TimePoint aNow) const;
   bool Apply(Entry& aEntry, OnceBucket& aBucket, WallTime aWall) const;
   bool FillBatch(WallTime aWall);
-  void PutBack(TimePoint aNow);
+  void RequeueBatch(TimePoint aNow);
   void Refuse(Entry& aEntry);
   void Reply(const Entry& aEntry);
-  static void TurnIntoRelease(Entry& aEntry, TimePoint aDeadline);
+  static void ConvertToRelease(Entry& aEntry, TimePoint aDeadline);
 
   Options options_;
   OnceBucket bucket_;
-  OnceBucket candidate_;
+  OnceBucket stagedBucket_;
   std::string version_;
-  bool known_ = false;
+  bool bucketLoaded_ = false;
   std::uint64_t lastId_ = 0;
-  std::uint64_t readStamp_ = 0; // newest operation when the last read began
+  std::uint64_t lastIdAtRead_ = 0; // lastId_ when the last read began
   std::deque<Entry> queue_;
   std::vector<Entry> batch_;
   bool inFlight_ = false;
--- a/src/core/gooseberrylift-job.cc
+++ b/src/core/gooseberrylift-job.cc
@@ -29,7 +29,7 @@
   return WallTime(std::chrono::milliseconds(aTime));
 }
 
-JobState StateOf(const std::string& aName)
+JobState ParseJobState(const std::string& aName)
 {
   const auto* found = std::find(kStateNames.begin(), kStateNames.end(), aName);
   return found == kStateNames.end()
@@ -37,7 +37,7 @@
            : static_cast<JobState>(found - kStateNames.begin());
 }
 
-bool MayClaim(JobState aState, WallTime aLeaseUntil, WallTime aNow)
+bool CanClaim(JobState aState, WallTime aLeaseUntil, WallTime aNow)
 {
   return aState == JobState::kQueued ||
          (aState == JobState::kRunning && aLeaseUntil <= aNow);
@@ -55,7 +55,7 @@
   return { .team_ = aSpec.value("team", ""),
            .digest_ = aSpec.value("digest", ""),
            .target_ = aSpec.value("target", ""),
-           .state_ = StateOf(aSpec.value("state", "")),
+           .state_ = ParseJobState(aSpec.value("state", "")),
            .claims_ = aSpec.value("claims", 0),
            .holder_ = aSpec.value("holder", ""),
            .leaseUntil_ =
@@ -90,7 +90,7 @@
 
 bool JobRecord::Claimable(WallTime aNow) const
 {
-  return MayClaim(state_, leaseUntil_, aNow);
+  return CanClaim(state_, leaseUntil_, aNow);
 }
 
 JobBook::JobBook(Options aOptions)
@@ -112,28 +112,28 @@
   std::uint64_t aRandom) const
 {
   std::map<std::string, std::vector<std::string>> claimable; // by team
-  for (const auto& [id, view] : jobs_) {
-    if (!aRunning.contains(id) && view.expires_ > aNow &&
-        MayClaim(view.state_, view.leaseUntil_, aNow)) {
-      claimable[view.team_].push_back(id);
+  for (const auto& [id, summary] : jobs_) {
+    if (!aRunning.contains(id) && summary.expires_ > aNow &&
+        CanClaim(summary.state_, summary.leaseUntil_, aNow)) {
+      claimable[summary.team_].push_back(id);
     }
   }
   if (claimable.empty()) {
     return std::nullopt;
   }
-  const auto runningOf = [&aRunning](const std::string& aTeam) {
+  const auto countRunning = [&aRunning](const std::string& aTeam) {
     return std::count_if(
       aRunning.begin(), aRunning.end(), [&aTeam](const auto& aEntry) {
         return aEntry.second == aTeam;
       });
   };
-  const auto least =
-    std::min_element(claimable.begin(),
-                     claimable.end(),
-                     [&runningOf](const auto& aLeft, const auto& aRight) {
-                       return runningOf(aLeft.first) < runningOf(aRight.first);
-                     });
-  return least->second[aRandom % least->second.size()];
+  const auto leastBusy = std::min_element(
+    claimable.begin(),
+    claimable.end(),
+    [&countRunning](const auto& aLeft, const auto& aRight) {
+      return countRunning(aLeft.first) < countRunning(aRight.first);
+    });
+  return leastBusy->second[aRandom % leastBusy->second.size()];
 }
 
 std::string JobBook::TeamOf(const std::string& aId) const
@@ -145,8 +145,8 @@
 std::vector<std::string> JobBook::Expired(WallTime aNow) const
 {
   std::vector<std::string> expired;
-  for (const auto& [id, view] : jobs_) {
-    if (view.expires_ <= aNow) {
+  for (const auto& [id, summary] : jobs_) {
+    if (summary.expires_ <= aNow) {
       expired.push_back(id);
     }
   }
@@ -155,12 +155,12 @@
 
 bool JobBook::HasRoom(const std::string& aTeam) const
 {
-  const auto waiting =
+  const auto queued =
     std::count_if(jobs_.begin(), jobs_.end(), [&aTeam](const auto& aEntry) {
       return aEntry.second.team_ == aTeam &&
              aEntry.second.state_ == JobState::kQueued;
     });
-  return static_cast<std::size_t>(waiting) < options_.maxWaitingPerTeam_;
+  return static_cast<std::size_t>(queued) < options_.maxQueuedPerTeam_;
 }
 
 } // namespace gooseberrylift
--- a/src/core/gooseberrylift-once-bucket.cc
+++ b/src/core/gooseberrylift-once-bucket.cc
@@ -10,27 +10,28 @@
 
 namespace {
 
-// Quotes, names and separators of one record in the store's JSON.
-constexpr std::size_t kRecordOverhead = 64;
+// Size of the quotes, field names and separators of one record in JSON.
+constexpr std::size_t kRecordOverheadBytes = 64;
 
-std::size_t BytesOf(const std::string& aKey, const OnceRecord& aRecord)
+std::size_t RecordSizeInBytes(const std::string& aKey,
+                              const OnceRecord& aRecord)
 {
-  return kRecordOverhead + aKey.size() + aRecord.digest_.size() +
+  return kRecordOverheadBytes + aKey.size() + aRecord.digest_.size() +
          aRecord.nonce_.size() + aRecord.result_.size();
 }
 
-std::int64_t MillisecondsOf(WallTime aTime)
+std::int64_t ToMilliseconds(WallTime aTime)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
            aTime.time_since_epoch())
     .count();
 }
 
-json JsonOf(const OnceRecord& aRecord)
+json ToJson(const OnceRecord& aRecord)
 {
   json body = { { "d", aRecord.digest_ },
                 { "s", static_cast<int>(aRecord.state_) },
-                { "u", MillisecondsOf(aRecord.until_) } };
+                { "u", ToMilliseconds(aRecord.until_) } };
   if (!aRecord.nonce_.empty()) {
     body["n"] = aRecord.nonce_;
   }
@@ -40,8 +41,9 @@
   return body;
 }
 
-// A record that can't be read stands as kLost: its call may have run.
-OnceRecord RecordOf(const json& aBody)
+// A record with a missing or invalid state becomes kLost, since its call may
+// have run.
+OnceRecord ParseRecord(const json& aBody)
 {
   const int state = aBody.value("s", static_cast<int>(OnceState::kLost));
   return { .digest_ = aBody.value("d", ""),
@@ -54,7 +56,7 @@
            .result_ = aBody.value("r", "") };
 }
 
-OnceDecision DecisionOf(const OnceRecord& aRecord, WallTime aNow)
+OnceDecision ResolveExistingRecord(const OnceRecord& aRecord, WallTime aNow)
 {
   switch (aRecord.state_) {
     case OnceState::kDone:
@@ -62,8 +64,8 @@
                                                    : OnceVerdict::kReplay,
                .result_ = aRecord.result_ };
     case OnceState::kIntent:
-      // The owner may have dispatched and died, so nobody else may: past its
-      // lease an intent is as good as lost, but is never given away again.
+      // The owner may have crashed after dispatching the call, so an intent
+      // with an expired lease is reported as unknown and never reassigned.
       return { .verdict_ = aNow < aRecord.until_ ? OnceVerdict::kPending
                                                  : OnceVerdict::kUnknown };
     case OnceState::kLost:
@@ -84,7 +86,7 @@
   OnceBucket bucket(aOptions);
   const json records = aSpec.value("records", json::object());
   for (const auto& [key, body] : records.items()) {
-    bucket.Put(key, RecordOf(body));
+    bucket.InsertOrReplace(key, ParseRecord(body));
   }
   return bucket;
 }
@@ -93,7 +95,7 @@
 {
   json records = json::object();
   for (const auto& [key, record] : records_) {
-    records[key] = JsonOf(record);
+    records[key] = ToJson(record);
   }
   json spec = json::object();
   spec["records"] = std::move(records);
@@ -106,27 +108,28 @@
   if (found != records_.end()) {
     if (found->second.nonce_ == aIntent.nonce_ &&
         found->second.state_ == OnceState::kIntent) {
-      // The write whose answer was lost has taken effect.
+      // An earlier write of this intent succeeded but its response was lost.
       return { .verdict_ = OnceVerdict::kBegun };
     }
     if (found->second.digest_ != aIntent.digest_) {
       return { .verdict_ = OnceVerdict::kOtherRequest };
     }
-    return DecisionOf(found->second, aNow);
+    return ResolveExistingRecord(found->second, aNow);
   }
   OnceRecord record{ .digest_ = aIntent.digest_,
                      .nonce_ = aIntent.nonce_,
                      .until_ = aIntent.until_ };
-  // Results make room first. A record never does before its retention is over,
-  // since a call sent again would then run twice.
-  while (bytes_ + BytesOf(aIntent.key_, record) > options_.maxBytes_) {
+  // Only results are evicted to make space. Removing a record before the end of
+  // its retention period would let a repeated call run twice.
+  while (bytes_ + RecordSizeInBytes(aIntent.key_, record) >
+         options_.maxBytes_) {
     const std::size_t before = bytes_;
     DropOldestResult();
     if (bytes_ == before) {
       return { .verdict_ = OnceVerdict::kFull };
     }
   }
-  Put(aIntent.key_, std::move(record));
+  InsertOrReplace(aIntent.key_, std::move(record));
   return { .verdict_ = OnceVerdict::kBegun, .changed_ = true };
 }
 
@@ -145,10 +148,10 @@
     return false;
   }
   record.state_ = aState;
-  record.nonce_.clear(); // nobody owns it any more
+  record.nonce_.clear(); // a finished record has no owner
   record.until_ = aNow;
   record.result_ = std::move(aResult);
-  Put(aKey, std::move(record));
+  InsertOrReplace(aKey, std::move(record));
   while (bytes_ > options_.maxBytes_) {
     const std::size_t before = bytes_;
     DropOldestResult();
@@ -174,8 +177,8 @@
 {
   const std::size_t before = records_.size();
   for (auto at = records_.begin(); at != records_.end();) {
-    const bool over = at->second.until_ + options_.retention_ <= aNow;
-    at = over ? Erase(at) : std::next(at);
+    const bool expired = at->second.until_ + options_.retention_ <= aNow;
+    at = expired ? Erase(at) : std::next(at);
   }
   return records_.size() != before;
 }
@@ -186,19 +189,19 @@
   return found == records_.end() ? nullptr : &found->second;
 }
 
-void OnceBucket::Put(const std::string& aKey, OnceRecord aRecord)
+void OnceBucket::InsertOrReplace(const std::string& aKey, OnceRecord aRecord)
 {
   const auto found = records_.find(aKey);
   if (found != records_.end()) {
     Erase(found);
   }
-  bytes_ += BytesOf(aKey, aRecord);
+  bytes_ += RecordSizeInBytes(aKey, aRecord);
   records_.emplace(aKey, std::move(aRecord));
 }
 
 OnceBucket::Records::iterator OnceBucket::Erase(Records::iterator aAt)
 {
-  bytes_ -= BytesOf(aAt->first, aAt->second);
+  bytes_ -= RecordSizeInBytes(aAt->first, aAt->second);
   return records_.erase(aAt);
 }
 
--- a/src/core/gooseberrylift-once-committer.cc
+++ b/src/core/gooseberrylift-once-committer.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Done is for good, so it needs no look at a fresher copy.
+// A completed call never changes state, so a stale copy of the bucket suffices
+// to report it.
 bool IsFinal(OnceVerdict aVerdict)
 {
   return aVerdict == OnceVerdict::kReplay ||
@@ -20,7 +21,7 @@
 OnceCommitter::OnceCommitter(Options aOptions)
   : options_(aOptions)
   , bucket_(aOptions.bucket_)
-  , candidate_(aOptions.bucket_)
+  , stagedBucket_(aOptions.bucket_)
 {
 }
 
@@ -37,27 +38,28 @@
   if (inFlight_ || aNow < retryAt_) {
     return std::nullopt;
   }
-  while (AnyDue(aNow)) {
-    const bool changed = known_ && FillBatch(aWall);
+  while (HasDueOperation(aNow)) {
+    const bool changed = bucketLoaded_ && FillBatch(aWall);
     if (changed) {
       inFlight_ = true;
       return OnceIo{ .kind_ = version_.empty() ? OnceIoKind::kCreate
                                                : OnceIoKind::kUpdate,
                      .version_ = version_,
-                     .spec_ = candidate_.Spec() };
+                     .spec_ = stagedBucket_.Spec() };
     }
-    // Nothing to write. What was decided holds if the copy is younger than the
-    // question; a stale copy may show an intent that was released since.
+    // Nothing to write. The results are valid if the bucket was read after
+    // the operations were submitted; an older copy may still hold an intent
+    // that has been released since.
     const bool fresh =
-      known_ &&
+      bucketLoaded_ &&
       std::all_of(batch_.begin(), batch_.end(), [this](const Entry& aEntry) {
-        return aEntry.op_.id_ <= readStamp_ ||
+        return aEntry.op_.id_ <= lastIdAtRead_ ||
                IsFinal(aEntry.decision_.verdict_);
       });
     if (!fresh) {
-      PutBack(aNow);
+      RequeueBatch(aNow);
       inFlight_ = true;
-      readStamp_ = lastId_;
+      lastIdAtRead_ = lastId_;
       return OnceIo{ .kind_ = OnceIoKind::kRead };
     }
     for (const Entry& entry : batch_) {
@@ -68,7 +70,7 @@
   return std::nullopt;
 }
 
-bool OnceCommitter::AnyDue(TimePoint aNow) const
+bool OnceCommitter::HasDueOperation(TimePoint aNow) const
 {
   return std::any_of(queue_.begin(), queue_.end(), [aNow](const Entry& aEntry) {
     return aEntry.op_.writeAt_ <= aNow;
@@ -76,16 +78,16 @@
 }
 
 // Applies queued operations to a copy of the bucket.
-// @return true when the copy must be written
+// @return whether the copy must be written
 bool OnceCommitter::FillBatch(WallTime aWall)
 {
-  candidate_ = bucket_;
-  candidate_.Sweep(aWall);
+  stagedBucket_ = bucket_;
+  stagedBucket_.Sweep(aWall);
   bool changed = false;
   while (!queue_.empty() && batch_.size() < options_.maxBatch_) {
     batch_.push_back(std::move(queue_.front()));
     queue_.pop_front();
-    changed = Apply(batch_.back(), candidate_, aWall) || changed;
+    changed = Apply(batch_.back(), stagedBucket_, aWall) || changed;
   }
   return changed;
 }
@@ -106,8 +108,9 @@
       break;
   }
   const bool removed = aBucket.Release(op.intent_.key_, op.intent_.nonce_);
-  // A write whose answer was lost may still be on its way. Writing once more,
-  // also without a change, moves the version on, so that it can't land later.
+  // A write whose response was lost may still reach the store. Another write,
+  // even without a change, advances the version, so that the delayed write
+  // fails its version check.
   return removed || aEntry.maybeWritten_;
 }
 
@@ -116,7 +119,7 @@
 {
   inFlight_ = false;
   failures_ = 0;
-  known_ = true;
+  bucketLoaded_ = true;
   version_ = aVersion;
   bucket_ = OnceBucket::Parse(aSpec, options_.bucket_);
 }
@@ -130,11 +133,11 @@
 {
   inFlight_ = false;
   failures_ = 0;
-  bucket_ = candidate_;
+  bucket_ = stagedBucket_;
   version_ = aVersion;
   for (Entry& entry : batch_) {
     if (entry.refused_ && entry.op_.kind_ == OnceOpKind::kBegin) {
-      TurnIntoRelease(entry, aNow + options_.releaseFor_);
+      ConvertToRelease(entry, aNow + options_.releaseTimeout_);
       queue_.push_back(std::move(entry));
       continue;
     }
@@ -146,35 +149,35 @@
 void OnceCommitter::OnConflict()
 {
   inFlight_ = false;
-  known_ = false;
-  PutBack(now_);
+  bucketLoaded_ = false;
+  RequeueBatch(now_);
 }
 
 void OnceCommitter::OnFailed(RanState aRan, TimePoint aNow)
 {
   inFlight_ = false;
-  known_ = false;
+  bucketLoaded_ = false;
   now_ = aNow;
-  auto pause = options_.pause_ * (1 << std::min(failures_, 10));
-  pause = std::min(pause, options_.maxPause_);
+  auto delay = options_.retryDelay_ * (1 << std::min(failures_, 10));
+  delay = std::min(delay, options_.maxRetryDelay_);
   ++failures_;
-  retryAt_ = aNow + pause;
+  retryAt_ = aNow + delay;
   for (Entry& entry : batch_) {
     entry.maybeWritten_ = entry.maybeWritten_ || aRan != RanState::kNo;
   }
-  PutBack(aNow);
+  RequeueBatch(aNow);
   for (Entry& entry : queue_) {
-    ++entry.tries_;
+    ++entry.failedCalls_;
     if (entry.op_.kind_ == OnceOpKind::kBegin &&
-        entry.tries_ >= options_.maxTries_) {
+        entry.failedCalls_ >= options_.maxFailedCalls_) {
       Refuse(entry);
     }
   }
   OnTick(aNow);
 }
 
-// Returns the batch to the head of the queue, in its order.
-void OnceCommitter::PutBack(TimePoint aNow)
+// Returns the batch to the front of the queue, preserving its order.
+void OnceCommitter::RequeueBatch(TimePoint aNow)
 {
   now_ = aNow;
   queue_.insert(queue_.begin(),
@@ -196,23 +199,24 @@
       Refuse(entry);
     }
   }
-  std::deque<Entry> kept;
+  std::deque<Entry> remaining;
   for (Entry& entry : queue_) {
     if (entry.refused_) {
-      const bool mustUndo =
+      const bool needsRelease =
         entry.op_.kind_ == OnceOpKind::kBegin && entry.maybeWritten_;
-      if (!mustUndo) {
+      if (!needsRelease) {
         continue;
       }
-      TurnIntoRelease(entry, aNow + options_.releaseFor_);
+      ConvertToRelease(entry, aNow + options_.releaseTimeout_);
     }
-    kept.push_back(std::move(entry));
+    remaining.push_back(std::move(entry));
   }
-  queue_ = std::move(kept);
+  queue_ = std::move(remaining);
 }
 
-// Refused is final for the caller: it is told "not run", so the intent must
-// never be dispatched. The attempt's coroutine ends with this reply.
+// A refusal is final: the caller is told that the call did not run, so the
+// intent must never be dispatched. The attempt's coroutine ends with this
+// reply.
 void OnceCommitter::Refuse(Entry& aEntry)
 {
   if (aEntry.refused_) {
@@ -231,13 +235,13 @@
   }
 }
 
-void OnceCommitter::TurnIntoRelease(Entry& aEntry, TimePoint aDeadline)
+void OnceCommitter::ConvertToRelease(Entry& aEntry, TimePoint aDeadline)
 {
   aEntry.op_.kind_ = OnceOpKind::kRelease;
-  aEntry.op_.id_ = 0; // nobody waits for it
+  aEntry.op_.id_ = 0; // the operation was already replied to
   aEntry.op_.deadline_ = aDeadline;
   aEntry.refused_ = false;
-  aEntry.tries_ = 0;
+  aEntry.failedCalls_ = 0;
 }
 
 std::vector<OnceReply> OnceCommitter::TakeReplies()
--- a/test/core/gooseberrylift-job-test.cc
+++ b/test/core/gooseberrylift-job-test.cc
@@ -10,7 +10,7 @@
 
 const WallTime kNow{ std::chrono::hours(1000) };
 
-JobRecord Queued(const char* aTeam)
+JobRecord MakeQueuedJob(const char* aTeam)
 {
   return { .team_ = aTeam, .expires_ = kNow + std::chrono::hours(1) };
 }
@@ -19,7 +19,7 @@
 
 TEST_GROUP(JobTest)
 {
-  JobBook book_{ { .maxWaitingPerTeam_ = 2 } };
+  JobBook book_{ { .maxQueuedPerTeam_ = 2 } };
 
   std::string Pick(const std::map<std::string, std::string>& aRunning,
                    WallTime aNow = kNow)
@@ -28,11 +28,11 @@
   }
 };
 
-// A host dies with a job in its hands. Nobody may take the job while the lease
-// holds, since the host may only be slow; afterwards somebody must.
-TEST(JobTest, TakesOverAJobWhenItsLeaseHasLapsed)
+// A host that crashes must not leave its job unfinished, and a slow host must
+// not lose its job: others may claim the job only after the lease has expired.
+TEST(JobTest, ReclaimsAJobAfterItsLeaseExpires)
 {
-  JobRecord job = Queued("one");
+  JobRecord job = MakeQueuedJob("one");
   job.state_ = JobState::kRunning;
   job.leaseUntil_ = kNow + std::chrono::seconds(10);
   book_.OnJob("a", job);
@@ -42,44 +42,44 @@
   CHECK_TRUE(job.Claimable(kNow + std::chrono::seconds(10)));
 }
 
-// One team has put in many jobs before another's single one. If jobs were taken
-// in the order of their coming, the single one would wait for all of them.
+// If jobs were claimed in the order of submission, a single job submitted after
+// another team's many jobs would wait for all of them.
 TEST(JobTest, PrefersTheTeamWithFewerJobsRunning)
 {
   for (const char* id : { "a", "b", "c" }) {
-    book_.OnJob(id, Queued("large"));
+    book_.OnJob(id, MakeQueuedJob("large"));
   }
-  book_.OnJob("d", Queued("small"));
+  book_.OnJob("d", MakeQueuedJob("small"));
   STRCMP_EQUAL("d", Pick({ { "a", "large" } }).c_str());
 }
 
-TEST(JobTest, TakesNoJobThatIsBeingStoredEndedOrExpired)
+TEST(JobTest, SkipsJobsBeingStoredEndedOrExpired)
 {
   for (const JobState state :
        { JobState::kStoring, JobState::kDone, JobState::kFailed }) {
-    JobRecord job = Queued("one");
+    JobRecord job = MakeQueuedJob("one");
     job.state_ = state;
     book_.OnJob(JobStateName(state), job);
   }
-  JobRecord expired = Queued("one");
+  JobRecord expired = MakeQueuedJob("one");
   expired.expires_ = kNow;
   book_.OnJob("expired", expired);
   STRCMP_EQUAL("", Pick({}).c_str());
   LONGS_EQUAL(1, book_.Expired(kNow).size());
 }
 
-TEST(JobTest, BoundsTheWaitingJobsOfATeam)
+TEST(JobTest, LimitsQueuedJobsPerTeam)
 {
-  book_.OnJob("a", Queued("one"));
+  book_.OnJob("a", MakeQueuedJob("one"));
   CHECK_TRUE(book_.HasRoom("one"));
-  book_.OnJob("b", Queued("one"));
+  book_.OnJob("b", MakeQueuedJob("one"));
   CHECK_FALSE(book_.HasRoom("one"));
   CHECK_TRUE(book_.HasRoom("two"));
 }
 
-TEST(JobTest, SurvivesAWriteAndARead)
+TEST(JobTest, RoundTripsThroughJson)
 {
-  JobRecord job = Queued("one");
+  JobRecord job = MakeQueuedJob("one");
   job.state_ = JobState::kFailed;
   job.claims_ = 3;
   job.holder_ = "nonce";
--- a/test/core/gooseberrylift-once-test.cc
+++ b/test/core/gooseberrylift-once-test.cc
@@ -15,9 +15,9 @@
 const WallTime kWall{ std::chrono::hours(1000) };
 const TimePoint kNow{ std::chrono::hours(1) };
 
-OnceIntent Intent(const std::string& aKey,
-                  const std::string& aNonce,
-                  const std::string& aDigest = "digest")
+OnceIntent MakeIntent(const std::string& aKey,
+                      const std::string& aNonce,
+                      const std::string& aDigest = "digest")
 {
   return { .key_ = aKey,
            .digest_ = aDigest,
@@ -25,7 +25,7 @@
            .until_ = kWall + std::chrono::seconds(10) };
 }
 
-OnceOp Op(OnceOpKind aKind, const OnceIntent& aIntent)
+OnceOp MakeOperation(OnceOpKind aKind, const OnceIntent& aIntent)
 {
   return { .kind_ = aKind,
            .intent_ = aIntent,
@@ -33,59 +33,61 @@
            .deadline_ = kNow + std::chrono::hours(1) };
 }
 
-// One object of the store, with conditional updates.
-struct ModelStore
+// In-memory store of one object, with conditional updates.
+struct SingleObjectStore
 {
   int version_ = 0; // 0: absent
   json spec_;
 
-  bool Write(const OnceIo& aIo)
+  bool Write(const OnceIo& aCall)
   {
     const std::string expected =
-      aIo.kind_ == OnceIoKind::kCreate ? "0" : aIo.version_;
+      aCall.kind_ == OnceIoKind::kCreate ? "0" : aCall.version_;
     if (expected != std::to_string(version_)) {
       return false;
     }
     ++version_;
-    spec_ = aIo.spec_;
+    spec_ = aCall.spec_;
     return true;
   }
 };
 
-// Makes a call without faults.
-void Perform(OnceCommitter& aCommitter, const OnceIo& aIo, ModelStore& aStore)
+// Executes a store call without faults and reports its result.
+void PerformCall(OnceCommitter& aCommitter,
+                 const OnceIo& aCall,
+                 SingleObjectStore& aStore)
 {
-  if (aIo.kind_ == OnceIoKind::kRead) {
+  if (aCall.kind_ == OnceIoKind::kRead) {
     if (aStore.version_ == 0) {
       aCommitter.OnAbsent();
     } else {
       aCommitter.OnRead(std::to_string(aStore.version_), aStore.spec_);
     }
-  } else if (aStore.Write(aIo)) {
+  } else if (aStore.Write(aCall)) {
     aCommitter.OnWritten(std::to_string(aStore.version_), kNow);
   } else {
     aCommitter.OnConflict();
   }
 }
 
-std::vector<OnceReply> Drain(OnceCommitter& aCommitter,
-                             ModelStore& aStore,
-                             TimePoint aNow = kNow,
-                             WallTime aWall = kWall)
+std::vector<OnceReply> RunUntilIdle(OnceCommitter& aCommitter,
+                                    SingleObjectStore& aStore,
+                                    TimePoint aNow = kNow,
+                                    WallTime aWall = kWall)
 {
-  while (const auto io = aCommitter.NextIo(aNow, aWall)) {
-    Perform(aCommitter, *io, aStore);
+  while (const auto call = aCommitter.NextIo(aNow, aWall)) {
+    PerformCall(aCommitter, *call, aStore);
   }
   return aCommitter.TakeReplies();
 }
 
-OnceVerdict BeginAt(OnceCommitter& aCommitter,
-                    ModelStore& aStore,
-                    const OnceIntent& aIntent,
-                    WallTime aWall = kWall)
+OnceVerdict BeginAndCommit(OnceCommitter& aCommitter,
+                           SingleObjectStore& aStore,
+                           const OnceIntent& aIntent,
+                           WallTime aWall = kWall)
 {
-  aCommitter.Submit(Op(OnceOpKind::kBegin, aIntent));
-  const auto replies = Drain(aCommitter, aStore, kNow, aWall);
+  aCommitter.Submit(MakeOperation(OnceOpKind::kBegin, aIntent));
+  const auto replies = RunUntilIdle(aCommitter, aStore, kNow, aWall);
   LONGS_EQUAL(1, replies.size());
   CHECK_TRUE(replies.front().committed_);
   return replies.front().decision_.verdict_;
@@ -95,178 +97,201 @@
 
 TEST_GROUP(OnceTest)
 {
-  ModelStore store_;
-  OnceCommitter one_{ OnceCommitter::Options{} };
-  OnceCommitter two_{ OnceCommitter::Options{} };
+  SingleObjectStore store_;
+  OnceCommitter firstCommitter_{ OnceCommitter::Options{} };
+  OnceCommitter secondCommitter_{ OnceCommitter::Options{} };
 
-  void CheckVerdict(OnceVerdict aExpected, OnceVerdict aSeen)
+  void CheckStatus(OnceVerdict aExpected, OnceVerdict aActual)
   {
-    LONGS_EQUAL(static_cast<int>(aExpected), static_cast<int>(aSeen));
+    LONGS_EQUAL(static_cast<int>(aExpected), static_cast<int>(aActual));
   }
 };
 
-TEST(OnceTest, GivesAKeyToOneAttemptOnly)
+TEST(OnceTest, GrantsAKeyToOneAttemptOnly)
 {
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(one_, store_, Intent("k", "a")));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(two_, store_, Intent("k", "b")));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(one_, store_, Intent("k", "c")));
+  CheckStatus(OnceVerdict::kBegun,
+              BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a")));
+  CheckStatus(OnceVerdict::kPending,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
+  CheckStatus(OnceVerdict::kPending,
+              BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "c")));
 }
 
-// The owner dies after its intent. The caller sends again once the lease is
-// over: the call may have run, so it is told "unknown" for as long as the
-// record is kept, and nobody dispatches.
-TEST(OnceTest, NeverGivesAnIntentPastItsLeaseToAnother)
+// An owner that crashes after writing its intent may have dispatched the call.
+// A retry after the lease has expired must not dispatch it again; it is
+// reported as unknown for as long as the record is retained.
+TEST(OnceTest, NeverReassignsAnExpiredIntent)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
   const WallTime later = kWall + std::chrono::hours(23);
-  CheckVerdict(OnceVerdict::kUnknown,
-               BeginAt(two_, store_, Intent("k", "b"), later));
+  CheckStatus(
+    OnceVerdict::kUnknown,
+    BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b"), later));
 }
 
 TEST(OnceTest, ReplaysTheRecordedOutcome)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  one_.Submit(Op(OnceOpKind::kFinish, Intent("k", "a")));
-  Drain(one_, store_);
-  two_.Submit(Op(OnceOpKind::kBegin, Intent("k", "b")));
-  const auto replies = Drain(two_, store_);
-  CheckVerdict(OnceVerdict::kReplay, replies.front().decision_.verdict_);
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kFinish, MakeIntent("k", "a")));
+  RunUntilIdle(firstCommitter_, store_);
+  secondCommitter_.Submit(
+    MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "b")));
+  const auto replies = RunUntilIdle(secondCommitter_, store_);
+  CheckStatus(OnceVerdict::kReplay, replies.front().decision_.verdict_);
   STRCMP_EQUAL("result", replies.front().decision_.result_.c_str());
 }
 
 TEST(OnceTest, RefusesTheSameKeyWithAnotherRequest)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  CheckVerdict(OnceVerdict::kOtherRequest,
-               BeginAt(two_, store_, Intent("k", "b", "other")));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  CheckStatus(
+    OnceVerdict::kOtherRequest,
+    BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b", "other")));
 }
 
-TEST(OnceTest, LetsAReleasedKeyBeginAgain)
+TEST(OnceTest, AllowsBeginAfterRelease)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  one_.Submit(Op(OnceOpKind::kRelease, Intent("k", "a")));
-  Drain(one_, store_);
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "b")));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kRelease, MakeIntent("k", "a")));
+  RunUntilIdle(firstCommitter_, store_);
+  CheckStatus(OnceVerdict::kBegun,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
-// A host keeps its copy of the bucket. If it decided on that copy, a key that
-// another host released meanwhile would look taken and the call would be lost.
-TEST(OnceTest, LooksAgainBeforeItSaysThatAKeyIsTaken)
+// Hosts cache the bucket. If a host decided on a stale copy, a key that another
+// host has released since would appear taken and the call would be refused.
+TEST(OnceTest, RereadsBeforeReportingAKeyAsTaken)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(two_, store_, Intent("k", "b")));
-  one_.Submit(Op(OnceOpKind::kRelease, Intent("k", "a")));
-  Drain(one_, store_);
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "c")));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  CheckStatus(OnceVerdict::kPending,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kRelease, MakeIntent("k", "a")));
+  RunUntilIdle(firstCommitter_, store_);
+  CheckStatus(OnceVerdict::kBegun,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "c")));
 }
 
-TEST(OnceTest, WritesWhatGatheredInOneCall)
+TEST(OnceTest, CommitsQueuedOperationsInOneWrite)
 {
   for (int key = 0; key < 100; ++key) {
-    one_.Submit(Op(OnceOpKind::kBegin, Intent(std::to_string(key), "n")));
+    firstCommitter_.Submit(
+      MakeOperation(OnceOpKind::kBegin, MakeIntent(std::to_string(key), "n")));
   }
-  LONGS_EQUAL(100, Drain(one_, store_).size());
+  LONGS_EQUAL(100, RunUntilIdle(firstCommitter_, store_).size());
   LONGS_EQUAL(1, store_.version_);
 }
 
-// An outcome that nobody waits for yet joins the next intent's write, and is
-// written by itself when none comes.
-TEST(OnceTest, WritesAnOutcomeTogetherWithTheNextIntent)
+// An outcome with a later write time is written together with the next intent,
+// or by itself if no intent is submitted before that time.
+TEST(OnceTest, CommitsAnOutcomeWithTheNextIntent)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  OnceOp outcome = Op(OnceOpKind::kFinish, Intent("k", "a"));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  OnceOp outcome = MakeOperation(OnceOpKind::kFinish, MakeIntent("k", "a"));
   outcome.writeAt_ = kNow + milliseconds(20);
-  one_.Submit(outcome);
-  CHECK_FALSE(one_.NextIo(kNow, kWall).has_value());
-  CHECK_TRUE(one_.WakeAt() == kNow + milliseconds(20));
-  one_.Submit(Op(OnceOpKind::kBegin, Intent("other", "b")));
-  LONGS_EQUAL(2, Drain(one_, store_).size());
+  firstCommitter_.Submit(outcome);
+  CHECK_FALSE(firstCommitter_.NextIo(kNow, kWall).has_value());
+  CHECK_TRUE(firstCommitter_.WakeAt() == kNow + milliseconds(20));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kBegin, MakeIntent("other", "b")));
+  LONGS_EQUAL(2, RunUntilIdle(firstCommitter_, store_).size());
   LONGS_EQUAL(2, store_.version_);
-  one_.Submit(outcome);
-  LONGS_EQUAL(1, Drain(one_, store_, kNow + milliseconds(20)).size());
+  firstCommitter_.Submit(outcome);
+  LONGS_EQUAL(
+    1, RunUntilIdle(firstCommitter_, store_, kNow + milliseconds(20)).size());
 }
 
-// The write takes effect and its answer is lost. The host must not take its
-// own intent for another's, nor write it a second time.
-TEST(OnceTest, SettlesALostAnswerByReadingBack)
+// If a write succeeds but its response is lost, the host must recognize its own
+// intent when it reads the bucket, and must not write it a second time.
+TEST(OnceTest, ResolvesALostResponseByReadingBack)
 {
-  one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  const auto write = one_.NextIo(kNow, kWall);
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
+  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
+  const auto write = firstCommitter_.NextIo(kNow, kWall);
   CHECK_TRUE(store_.Write(*write));
-  one_.OnFailed(RanState::kUnknown, kNow);
-  const auto replies = Drain(one_, store_, kNow + std::chrono::seconds(2));
+  firstCommitter_.OnFailed(RanState::kUnknown, kNow);
+  const auto replies =
+    RunUntilIdle(firstCommitter_, store_, kNow + std::chrono::seconds(2));
   LONGS_EQUAL(1, replies.size());
-  CheckVerdict(OnceVerdict::kBegun, replies.front().decision_.verdict_);
+  CheckStatus(OnceVerdict::kBegun, replies.front().decision_.verdict_);
   LONGS_EQUAL(1, store_.version_);
 }
 
-// The store is down after a write whose answer was lost. The caller is told
-// "not run" and sends again later: the intent that took effect must be undone,
-// or the call would be refused as unknown although it never ran.
-TEST(OnceTest, UndoesTheIntentOfARefusedCall)
+// The response to a write is lost and the store then fails, so the caller is
+// told that the call did not run. Unless the written intent is released, a
+// retry would be refused as unknown although the call never ran.
+TEST(OnceTest, ReleasesTheIntentOfARefusedCall)
 {
-  one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  CHECK_TRUE(store_.Write(*one_.NextIo(kNow, kWall)));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
+  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
+  CHECK_TRUE(store_.Write(*firstCommitter_.NextIo(kNow, kWall)));
   TimePoint now = kNow;
-  one_.OnFailed(RanState::kUnknown, now);
+  firstCommitter_.OnFailed(RanState::kUnknown, now);
   for (int failure = 0; failure < 2; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(one_.NextIo(now, kWall).has_value());
-    one_.OnFailed(RanState::kNo, now);
+    CHECK_TRUE(firstCommitter_.NextIo(now, kWall).has_value());
+    firstCommitter_.OnFailed(RanState::kNo, now);
   }
-  const auto refused = one_.TakeReplies();
+  const auto refused = firstCommitter_.TakeReplies();
   LONGS_EQUAL(1, refused.size());
   CHECK_FALSE(refused.front().committed_);
-  Drain(one_, store_, now + std::chrono::seconds(2));
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "b")));
+  RunUntilIdle(firstCommitter_, store_, now + std::chrono::seconds(2));
+  CheckStatus(OnceVerdict::kBegun,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
-// The write hangs on its way, the call is refused, and the write arrives after
-// the host looked and found nothing. The refusal's release moves the version
-// on, so the late write has no effect.
+// A write is delayed, its call is refused, and the write reaches the store
+// after the host has read the bucket without finding the intent. The release
+// advances the version, so that the delayed write is rejected.
 TEST(OnceTest, FencesAWriteThatArrivesAfterItsRefusal)
 {
-  one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  const auto late = one_.NextIo(kNow, kWall);
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
+  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
+  const auto delayedWrite = firstCommitter_.NextIo(kNow, kWall);
   TimePoint now = kNow + std::chrono::hours(2); // past the operation's deadline
-  one_.OnTick(now);
-  CHECK_FALSE(one_.TakeReplies().front().committed_);
-  one_.OnFailed(RanState::kUnknown, now);
-  Drain(one_, store_, now + std::chrono::seconds(2));
-  CHECK_FALSE(store_.Write(*late));
+  firstCommitter_.OnTick(now);
+  CHECK_FALSE(firstCommitter_.TakeReplies().front().committed_);
+  firstCommitter_.OnFailed(RanState::kUnknown, now);
+  RunUntilIdle(firstCommitter_, store_, now + std::chrono::seconds(2));
+  CHECK_FALSE(store_.Write(*delayedWrite));
 }
 
-TEST(OnceTest, RefusesAnIntentWhoseTimeIsOverWhileTheStoreHangs)
+TEST(OnceTest, RefusesAnIntentPastItsDeadlineWhileTheStoreHangs)
 {
-  OnceOp op = Op(OnceOpKind::kBegin, Intent("k", "a"));
+  OnceOp op = MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a"));
   op.deadline_ = kNow + milliseconds(100);
-  one_.Submit(op);
-  CHECK_TRUE(one_.NextIo(kNow, kWall).has_value()); // and no answer comes
-  one_.OnTick(kNow + milliseconds(99));
-  LONGS_EQUAL(0, one_.TakeReplies().size());
-  one_.OnTick(kNow + milliseconds(100));
-  const auto replies = one_.TakeReplies();
+  firstCommitter_.Submit(op);
+  CHECK_TRUE(
+    firstCommitter_.NextIo(kNow, kWall).has_value()); // no response arrives
+  firstCommitter_.OnTick(kNow + milliseconds(99));
+  LONGS_EQUAL(0, firstCommitter_.TakeReplies().size());
+  firstCommitter_.OnTick(kNow + milliseconds(100));
+  const auto replies = firstCommitter_.TakeReplies();
   LONGS_EQUAL(1, replies.size());
   CHECK_FALSE(replies.front().committed_);
 }
 
-// An outcome is worth more than an intent: it is kept trying through an outage
-// in which intents are refused after a few failures.
-TEST(OnceTest, KeepsAnOutcomeThroughAnOutage)
+// Intents are refused after a few failed store calls. Outcomes are retried
+// through an outage, since losing one would make the call's result unknown.
+TEST(OnceTest, RetriesAnOutcomeThroughAnOutage)
 {
-  BeginAt(one_, store_, Intent("k", "a"));
-  one_.Submit(Op(OnceOpKind::kFinish, Intent("k", "a")));
+  BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
+  firstCommitter_.Submit(
+    MakeOperation(OnceOpKind::kFinish, MakeIntent("k", "a")));
   TimePoint now = kNow;
   for (int failure = 0; failure < 50; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(one_.NextIo(now, kWall).has_value());
-    one_.OnFailed(RanState::kNo, now);
+    CHECK_TRUE(firstCommitter_.NextIo(now, kWall).has_value());
+    firstCommitter_.OnFailed(RanState::kNo, now);
   }
-  Drain(one_, store_, now + std::chrono::seconds(2));
-  CheckVerdict(OnceVerdict::kReplay, BeginAt(two_, store_, Intent("k", "b")));
+  RunUntilIdle(firstCommitter_, store_, now + std::chrono::seconds(2));
+  CheckStatus(OnceVerdict::kReplay,
+              BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
 TEST(OnceTest, DropsResultsBeforeRecordsAtTheSizeLimit)
@@ -276,7 +301,7 @@
   OnceVerdict last = OnceVerdict::kBegun;
   for (int key = 0; key < 100 && last == OnceVerdict::kBegun; ++key) {
     const std::string name = std::to_string(key);
-    last = bucket.Begin(Intent(name, "n"), kWall).verdict_;
+    last = bucket.Begin(MakeIntent(name, "n"), kWall).verdict_;
     bucket.Finish(name,
                   "n",
                   OnceState::kDone,
@@ -284,25 +309,25 @@
                   kWall + milliseconds(key));
     begun += last == OnceVerdict::kBegun ? 1 : 0;
   }
-  CheckVerdict(OnceVerdict::kFull, last);
-  CHECK_TRUE(begun > 5); // more than fit with their results
+  CheckStatus(OnceVerdict::kFull, last);
+  CHECK_TRUE(begun > 5); // more records than fit with their results
   LONGS_EQUAL(begun, bucket.Size());
-  CheckVerdict(OnceVerdict::kResultDropped,
-               bucket.Begin(Intent("0", "x"), kWall).verdict_);
+  CheckStatus(OnceVerdict::kResultDropped,
+              bucket.Begin(MakeIntent("0", "x"), kWall).verdict_);
 }
 
-TEST(OnceTest, SweepsRecordsAfterTheRetentionOnly)
+TEST(OnceTest, RemovesRecordsOnlyAfterTheRetention)
 {
   OnceBucket bucket(OnceBucket::Options{});
-  bucket.Begin(Intent("k", "a"), kWall);
+  bucket.Begin(MakeIntent("k", "a"), kWall);
   CHECK_FALSE(bucket.Sweep(kWall + std::chrono::hours(24)));
   CHECK_TRUE(bucket.Sweep(kWall + std::chrono::hours(25)));
 }
 
-TEST(OnceTest, SurvivesAWriteAndARead)
+TEST(OnceTest, RoundTripsThroughJson)
 {
   OnceBucket bucket(OnceBucket::Options{});
-  bucket.Begin(Intent("k", "a"), kWall);
+  bucket.Begin(MakeIntent("k", "a"), kWall);
   bucket.Finish("k", "a", OnceState::kDone, "r", kWall);
   const OnceBucket read = OnceBucket::Parse(bucket.Spec(), {});
   CHECK_TRUE(read.Spec() == bucket.Spec());
@@ -311,31 +336,32 @@
 
 namespace {
 
-// Three hosts, one bucket, a store that conflicts, fails, loses answers and
-// delivers writes late. Counts how often each key was dispatched.
-class FaultRun
+// Simulates three hosts that share one bucket, and a store with conflicts,
+// failures, lost responses and delayed writes. Counts the dispatches of each
+// key.
+class FaultSimulation
 {
 public:
-  explicit FaultRun(std::uint64_t aSeed)
+  explicit FaultSimulation(std::uint64_t aSeed)
     : random_(aSeed)
     , hosts_(3, OnceCommitter(OnceCommitter::Options{}))
-    , flying_(3)
+    , callsInFlight_(3)
     , attempts_(3)
   {
   }
 
   void Step()
   {
-    now_ += milliseconds(Draw(40));
-    const std::size_t host = Draw(hosts_.size());
-    if (Draw(4) == 0) {
-      Send(host);
-    } else if (Draw(400) == 0) {
-      Kill(host);
-    } else if (flying_[host]) {
-      Land(host);
+    now_ += milliseconds(RandomBelow(40));
+    const std::size_t host = RandomBelow(hosts_.size());
+    if (RandomBelow(4) == 0) {
+      SubmitBegin(host);
+    } else if (RandomBelow(400) == 0) {
+      CrashHost(host);
+    } else if (callsInFlight_[host]) {
+      CompleteCall(host);
     } else {
-      flying_[host] = hosts_[host].NextIo(now_, kWall);
+      callsInFlight_[host] = hosts_[host].NextIo(now_, kWall);
     }
     TakeReplies(host);
   }
@@ -344,46 +370,46 @@
   std::map<std::string, int> refused_;
 
 private:
-  std::uint64_t Draw(std::uint64_t aBelow) { return random_() % aBelow; }
+  std::uint64_t RandomBelow(std::uint64_t aBelow) { return random_() % aBelow; }
 
-  void Send(std::size_t aHost)
+  void SubmitBegin(std::size_t aHost)
   {
-    const std::string key = std::to_string(Draw(60));
+    const std::string key = std::to_string(RandomBelow(60));
     const std::string nonce = std::to_string(++lastNonce_);
-    OnceOp op = Op(OnceOpKind::kBegin, Intent(key, nonce));
-    op.deadline_ = now_ + milliseconds(50 + Draw(500));
+    OnceOp op = MakeOperation(OnceOpKind::kBegin, MakeIntent(key, nonce));
+    op.deadline_ = now_ + milliseconds(50 + RandomBelow(500));
     attempts_[aHost][hosts_[aHost].Submit(op)] = op;
   }
 
-  void Kill(std::size_t aHost)
+  void CrashHost(std::size_t aHost)
   {
-    if (flying_[aHost] && Draw(2) == 0) {
-      late_.push_back(*flying_[aHost]);
+    if (callsInFlight_[aHost] && RandomBelow(2) == 0) {
+      delayedWrites_.push_back(*callsInFlight_[aHost]);
     }
     hosts_[aHost] = OnceCommitter(OnceCommitter::Options{});
-    flying_[aHost].reset();
+    callsInFlight_[aHost].reset();
     attempts_[aHost].clear();
   }
 
-  void Land(std::size_t aHost)
+  void CompleteCall(std::size_t aHost)
   {
-    const OnceIo io = *std::exchange(flying_[aHost], std::nullopt);
-    const std::uint64_t fault = Draw(10);
-    if (!late_.empty() && Draw(5) == 0) {
-      store_.Write(late_.back());
-      late_.pop_back();
+    const OnceIo call = *std::exchange(callsInFlight_[aHost], std::nullopt);
+    const std::uint64_t fault = RandomBelow(10);
+    if (!delayedWrites_.empty() && RandomBelow(5) == 0) {
+      store_.Write(delayedWrites_.back());
+      delayedWrites_.pop_back();
     }
     if (fault == 0) {
       hosts_[aHost].OnFailed(RanState::kNo, now_);
-    } else if (fault <= 2 && io.kind_ != OnceIoKind::kRead) {
+    } else if (fault <= 2 && call.kind_ != OnceIoKind::kRead) {
       if (fault == 1) {
-        store_.Write(io); // took effect, nobody is told
+        store_.Write(call); // succeeds, but the response is lost
       } else {
-        late_.push_back(io);
+        delayedWrites_.push_back(call);
       }
       hosts_[aHost].OnFailed(RanState::kUnknown, now_);
     } else {
-      Perform(hosts_[aHost], io, store_);
+      PerformCall(hosts_[aHost], call, store_);
     }
   }
 
@@ -399,40 +425,41 @@
       if (!reply.committed_) {
         ++refused_[op.intent_.key_];
       } else if (reply.decision_.verdict_ == OnceVerdict::kBegun) {
-        End(aHost, op);
+        FinishAttempt(aHost, op);
       }
     }
   }
 
-  void End(std::size_t aHost, OnceOp aOp)
+  void FinishAttempt(std::size_t aHost, OnceOp aOp)
   {
-    const bool runs = Draw(3) != 0;
-    dispatched_[aOp.intent_.key_] += runs ? 1 : 0;
-    aOp.kind_ = runs ? OnceOpKind::kFinish : OnceOpKind::kRelease;
+    const bool dispatches = RandomBelow(3) != 0;
+    dispatched_[aOp.intent_.key_] += dispatches ? 1 : 0;
+    aOp.kind_ = dispatches ? OnceOpKind::kFinish : OnceOpKind::kRelease;
     aOp.deadline_ = now_ + std::chrono::hours(1);
     hosts_[aHost].Submit(aOp);
   }
 
   std::mt19937_64 random_;
   std::vector<OnceCommitter> hosts_;
-  std::vector<std::optional<OnceIo>> flying_;
+  std::vector<std::optional<OnceIo>> callsInFlight_;
   std::vector<std::map<std::uint64_t, OnceOp>> attempts_;
-  std::vector<OnceIo> late_;
-  ModelStore store_;
+  std::vector<OnceIo> delayedWrites_;
+  SingleObjectStore store_;
   TimePoint now_ = kNow;
   std::uint64_t lastNonce_ = 0;
 };
 
 } // namespace
 
-// Callers send the same keys again and again through three hosts that race,
-// die and meet every fault of the store. No key may be dispatched twice.
+// Callers repeatedly send the same keys through three hosts that race, crash
+// and encounter every simulated fault of the store. No key may be dispatched
+// twice.
 TEST(OnceTest, DispatchesNoKeyTwiceUnderRandomFaults)
 {
   std::size_t dispatched = 0;
   std::size_t refused = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    FaultRun run(seed);
+    FaultSimulation run(seed);
     for (int step = 0; step < 3000; ++step) {
       run.Step();
     }
