--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
@@ -1,5 +1,5 @@
-// Keeps this host within the rate limits that endpoints name for all hosts
-// together.
+// Enforces the rate limits that endpoints advertise, which apply to the total
+// of the requests from all hosts.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
@@ -28,22 +28,22 @@
 
 namespace gooseberrylift {
 
-// Which of some endpoints have a limit, by id.
+// The ids of those of a request's candidates that have a rate limit.
 struct LimitedEndpoints
 {
-  std::set<std::string> withheld_;  // no permit at hand
-  std::set<std::string> permitted_; // for at least one request
+  std::set<std::string> withheld_;  // this host has no permit
+  std::set<std::string> permitted_; // it has at least one
 };
 
-// Each request to a limited endpoint needs a permit, which a host gets from the
-// granting host of that endpoint (RateGranter). A request that finds none goes
-// elsewhere at once; the question is asked for the next one. A host that hears
-// none of the others grants itself its even part of the rate. Safe from any
-// thread.
+// Each request to a rate-limited endpoint needs a permit, which a host requests
+// from the granting host of that endpoint (RateGranter). If no permit is
+// available, the request goes to another endpoint at once, while a permit is
+// requested for later requests. A host that is disconnected from all others
+// grants itself an even share of the rate. Thread-safe.
 class EndpointLimiter
 {
 public:
-  // Calls a method of a peer.
+  // Sends a permit request to a peer, which answers it with Answer().
   using Call = std::function<boost::asio::awaitable<Outcome<nlohmann::json>>(
     PeerMember aPeer,
     nlohmann::json aParams,
@@ -53,11 +53,12 @@
   {
     boost::asio::any_io_executor executor_;
     Metrics& metrics_;
-    // Says whether an incarnation is in the list of endpoints.
+    // Returns whether an incarnation is in the list of endpoints.
     EndpointRateLimits::IsListed isListed_;
-    // The other hosts are to know at once which endpoints have limits.
+    // Called when an endpoint's response has changed its limit, so that the
+    // peers learn of it at once.
     std::function<void()> tell_;
-    // Answered there by Answer().
+
     Call call_;
   };
 
@@ -65,77 +66,82 @@
   {
     std::string host_;
     std::string zone_;
-    // A host answers within some ms; one that does not is gone or stands still.
-    std::chrono::milliseconds askTimeout_{ 300 };
+    // For permit requests. A live peer responds within a few milliseconds; one
+    // that doesn't has failed or is paused.
+    std::chrono::milliseconds requestTimeout_{ 300 };
   };
 
   EndpointLimiter(Parts aParts, Options aOptions);
 
-  /// Takes in what an endpoint's answer says of its limit.
-  /// @param aSent when the request was sent that it answers
+  /// Processes the rate limit notice in an endpoint's response.
+  /// @param aSent when the corresponding request was sent
   void OnAnswer(const Incarnation& aEndpoint,
                 const AdvertisedRateLimit& aNotice,
                 TimePoint aSent);
 
-  /// Takes in what a peer knows.
+  /// Merges the entries of a peer.
   void OnPeer(const std::vector<EndpointRate>& aEntries);
 
-  /// Sets the other live hosts, as they change.
-  /// @param aKnown how many other hosts there are
-  /// @param aLeaves whether this host is about to stop
+  /// Updates the live peers.
+  /// @param aKnown the number of other hosts, live or not
+  /// @param aStopping whether this host is about to stop
   void SetPeers(const std::vector<Digest>& aLive,
                 std::size_t aKnown,
-                bool aLeaves);
+                bool aStopping);
 
-  /// Gives what is known, for the peers.
+  /// Returns all entries, which are sent to the peers.
   std::vector<EndpointRate> Entries();
 
-  /// Gives the limit in force at an endpoint, in requests a second.
-  /// @return nothing when it has none
+  /// Returns an endpoint's limit in requests per second; nothing if it has
+  /// none.
   std::optional<double> Of(const Incarnation& aEndpoint);
 
-  /// Finds the limited ones among a request's candidates, and asks for permits
-  /// where there is none.
+  /// Finds the rate-limited endpoints among a request's candidates, and
+  /// requests permits for those that this host has none for.
   LimitedEndpoints Judge(const std::vector<ListedEndpoint>& aCandidates);
 
-  /// Uses a permit for a request to an endpoint.
-  /// @return false when it needs one and there is none
+  /// Consumes a permit if the endpoint needs one.
+  /// @return false if it needs one and there is none
   bool Take(const Incarnation& aEndpoint);
 
-  /// Gives when one of some limited endpoints may be open to a request; zero
-  /// or less while the granting host is being asked.
+  /// Returns the shortest time until a permit may be available for one of the
+  /// given rate-limited endpoints; zero or less if a permit request is due or
+  /// pending.
   std::chrono::milliseconds TimeUntilPermit(
     const std::vector<ListedEndpoint>& aEndpoints);
 
-  /// Answers a peer that asks for permits.
+  /// Handles a peer's permit request and returns the response.
   nlohmann::json Answer(const nlohmann::json& aParams);
 
-  /// Drops what has become old; called now and then.
+  /// Removes expired state; called periodically.
   void Sweep();
 
 private:
-  // Whom to ask for permits; host_ is empty when nobody can be asked.
+  // The host to request permits from; host_ is empty if there is none.
   using Granter = PeerMember;
 
   boost::asio::awaitable<void> RequestPermits(EndpointRate aRate);
-  boost::asio::awaitable<Outcome<nlohmann::json>> AskPeers(EndpointRate aRate,
-                                                           Granter aGranter);
-  void TakeIn(const Incarnation& aEndpoint, const nlohmann::json& aAnswer);
-  RateGrant Grant(const EndpointRate& aRate);
+  boost::asio::awaitable<Outcome<nlohmann::json>> RequestFromGranter(
+    EndpointRate aRate,
+    Granter aGranter);
+  void ApplyGrant(const Incarnation& aEndpoint, const nlohmann::json& aAnswer);
+  RateGrant GrantPermits(const EndpointRate& aRate);
   Granter GranterFor(const Incarnation& aEndpoint);
   void OnChanged(const EndpointRate& aRate, const char* aSource);
 
   Parts parts_;
   Options options_;
-  std::mutex mutex_; // guards what follows
+  std::mutex mutex_; // guards the members below
   EndpointRateLimits rates_{ EndpointRateLimits::Options{} };
   RateGranter granter_;
   RatePermits permits_{ RatePermits::Options{} };
-  // Live hosts that are not about to stop, by zone; one nameless zone in a
-  // small fleet. This host is among those of its own zone.
+  // Live hosts that are not about to stop, by availability zone. In a small
+  // fleet, all are under an empty zone name. Includes this host, unless it is
+  // about to stop and has live peers.
   std::map<std::string, std::vector<PeerMember>> hosts_;
-  std::string scope_;        // this host's key in hosts_
-  std::size_t granters_ = 1; // hosts that grant for the same endpoint
+  std::string ownScope_; // this host's key in hosts_
+  // Hosts that grant permits for the same endpoint.
+  std::size_t granterCount_ = 1;
   std::minstd_rand random_;
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
@@ -1,4 +1,4 @@
-// The port that callers use on a host that serves routes.
+// Handles the requests that callers send to a host that serves routes.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_FRONT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_FRONT_H_
@@ -15,14 +15,13 @@
 
 namespace gooseberrylift {
 
-/// Gives the status that promises callers just what is true: 408, 421, 429 and
-/// 503 say that the request has not run and never will, so an error of a
-/// request that may have run gets 502 instead, and one of this host's own
-/// failures that did not run gets 503.
-int StatusOf(const Error& aError);
+/// Returns the HTTP status for an error. To callers, 408, 421, 429 and 503 mean
+/// that the request has not run and never will. If it may have run, 502
+/// replaces these. If it has not run, 503 replaces every 5xx status.
+int HttpStatusOf(const Error& aError);
 
-// Finds a request's route and team, and answers it exactly once. Safe from any
-// thread.
+// Resolves a request's route and team, and responds to it exactly once.
+// Thread-safe.
 class GatewayFront
 {
 public:
@@ -31,8 +30,8 @@
     GatewayBoard& board_;
     const WireDialect& dialect_;
     Metrics& metrics_;
-    // Expedites the first proof of the routes and returns whether it is still
-    // missing.
+    // Expedites the first proof that the routes are current, and returns
+    // whether that proof is still pending.
     std::function<bool()> expediteFirstProof_;
     RequestRun::Parts run_;
   };
@@ -47,16 +46,16 @@
   Outcome<RoutedRequest> Resolve(const HttpRequest& aRequest,
                                  CallerFacts aFacts,
                                  TimePoint aArrived);
-  boost::asio::awaitable<Outcome<void>> Serve(HttpExchange& aExchange,
-                                              RequestRun& aRun);
-  boost::asio::awaitable<void> AnswerFailure(HttpExchange& aExchange,
-                                             const std::string& aAttemptId,
-                                             const Error& aError);
-  void NoteServed(const RoutedRequest& aRequest, const RequestRun& aRun);
-  void NoteFailed(const std::string& aAttemptId,
-                  const std::string& aRoute,
-                  const Error& aError,
-                  TimePoint aArrived);
+  boost::asio::awaitable<Outcome<void>> RunRequest(HttpExchange& aExchange,
+                                                   RequestRun& aRun);
+  boost::asio::awaitable<void> SendErrorResponse(HttpExchange& aExchange,
+                                                 const std::string& aAttemptId,
+                                                 const Error& aError);
+  void RecordSuccess(const RoutedRequest& aRequest, const RequestRun& aRun);
+  void RecordFailure(const std::string& aAttemptId,
+                     const std::string& aRoute,
+                     const Error& aError,
+                     TimePoint aArrived);
 
   Parts parts_;
   std::atomic<std::uint64_t> nextId_ = 0;
--- a/include/gooseberrylift/internal/gooseberrylift-memory-holds.h
+++ b/include/gooseberrylift/internal/gooseberrylift-memory-holds.h
@@ -1,5 +1,5 @@
-// Memory set aside at several engines for one prompt that no single engine can
-// hold.
+// Reserves memory at several engines for a prompt that doesn't fit into the
+// memory of a single one.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_HOLDS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_HOLDS_H_
@@ -19,22 +19,22 @@
 
 namespace gooseberrylift {
 
-// All or nothing, in one order that all hosts share, so that two hosts never
-// wait for each other's half. The memory is freed on every way out: by an order
-// when the object goes, and by the engine itself when this host dies or is cut
-// off, because it is held for a short time only and renewed while the request
-// runs.
-class MemoryHolds
+// Reserves memory at all of the engines or at none. All hosts reserve in the
+// same order of endpoint ids, so that two hosts never each hold a part that the
+// other one needs. The destructor releases the memory. If this host crashes or
+// is disconnected, the engines release it themselves, because a reservation is
+// short and renewed while the request runs.
+class MemoryReservation
 {
 public:
   struct Options
   {
-    // What an engine that hears nothing more keeps aside. Below the 4 s after
-    // which memory that nobody uses counts as lost.
-    std::chrono::milliseconds holdFor_{ 3'000 };
-    // Two renewals may be lost before a hold runs out.
-    std::chrono::milliseconds renewEvery_{ 900 };
-    std::chrono::milliseconds orderTimeout_{ 400 };
+    // How long an engine keeps a reservation that isn't renewed. Less than the
+    // 4 s after which unused reserved memory counts as leaked.
+    std::chrono::milliseconds duration_{ 3'000 };
+    // Two consecutive renewals may be lost before a reservation expires.
+    std::chrono::milliseconds renewInterval_{ 900 };
+    std::chrono::milliseconds callTimeout_{ 400 };
   };
 
   struct Parts
@@ -44,43 +44,44 @@
     boost::asio::any_io_executor executor_;
   };
 
-  /// Sets memory aside.
-  /// @param aTicketId of this request alone, the same at each engine
-  /// @param aEndpoints where
-  /// @param aTokens how much at each
-  /// @return the holds, or kEndpointRefused with the endpoint that had no room;
-  /// what was set aside till then is freed
-  static boost::asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> Take(
-    Parts aParts,
-    std::string aTicketId,
-    std::vector<ListedEndpoint> aEndpoints,
-    std::uint64_t aTokens,
-    Options aOptions);
+  /// Reserves memory.
+  /// @param aTicketId identifies the reservation; unique to the request, and
+  /// the same at all engines
+  /// @param aEndpoints the engines
+  /// @param aTokens the amount at each engine
+  /// @return the reservation; or kEndpointRefused with the id of the endpoint
+  /// that failed, after which the memory reserved so far is released
+  static boost::asio::awaitable<Outcome<std::unique_ptr<MemoryReservation>>>
+  Acquire(Parts aParts,
+          std::string aTicketId,
+          std::vector<ListedEndpoint> aEndpoints,
+          std::uint64_t aTokens,
+          Options aOptions);
 
-  ~MemoryHolds();
-  MemoryHolds(const MemoryHolds&) = delete;
-  MemoryHolds& operator=(const MemoryHolds&) = delete;
+  ~MemoryReservation();
+  MemoryReservation(const MemoryReservation&) = delete;
+  MemoryReservation& operator=(const MemoryReservation&) = delete;
 
   const std::string& TicketId() const { return ticketId_; }
 
 private:
-  MemoryHolds(Parts aParts,
-              std::string aTicketId,
-              std::uint64_t aTokens,
-              Options aOptions);
+  MemoryReservation(Parts aParts,
+                    std::string aTicketId,
+                    std::uint64_t aTokens,
+                    Options aOptions);
 
   void Renew();
   boost::asio::awaitable<Outcome<void>> Reserve(std::string aAddress);
-  static boost::asio::awaitable<void> SendOrder(Parts aParts,
-                                                std::string aAddress,
-                                                HttpRequest aOrder,
-                                                TimePoint aDeadline);
+  static boost::asio::awaitable<void> SendBestEffort(Parts aParts,
+                                                     std::string aAddress,
+                                                     HttpRequest aRequest,
+                                                     TimePoint aDeadline);
 
   Parts parts_;
   std::string ticketId_;
   std::uint64_t tokens_;
   Options options_;
-  std::vector<std::string> addresses_; // where memory is or may be set aside
+  std::vector<std::string> addresses_; // where memory is or may be reserved
   TimerSubscription renewal_;
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -1,5 +1,5 @@
-// Takes one admitted request to an endpoint, and to others when one fails it,
-// until its caller has an answer or there is none to be had.
+// Sends a request to an endpoint, retries it at others if an attempt fails, and
+// forwards the response to the caller.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_REQUEST_RUN_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_REQUEST_RUN_H_
@@ -28,35 +28,38 @@
 
 namespace gooseberrylift {
 
-// The repeat budget of this host, shared by its requests.
+// The retry budget of this host, shared by all of its requests.
 struct SharedRepeatBudget
 {
-  std::mutex mutex_; // guards what follows
+  std::mutex mutex_; // guards the members below
   FleetRetryBudget budget_{ FleetRetryBudget::Options{} };
-  std::size_t hosts_ = 1; // that share the budget
+  std::size_t hosts_ = 1; // number of hosts that share the budget
 };
 
-// A request whose route and team are known.
+// A request whose route and team have been resolved.
 struct RoutedRequest
 {
-  std::string fingerprint_; // what is the same when it comes again
-  std::uint64_t id_ = 0;    // this host's own number
+  std::string fingerprint_; // the same for each retry of it
+  std::uint64_t id_ = 0;    // unique on this host
   CallerFacts facts_;
   RouteTable::Ptr table_;
-  const Route* route_ = nullptr; // of table_
+  const Route* route_ = nullptr; // owned by table_
   std::string service_;
   std::string team_;
-  int priority_ = 0;   // the team's or the route's; 0 is the most urgent
-  bool keyed_ = false; // the caller was let in by a key
+  int priority_ = 0; // of the team or the route; 0 is the most urgent
+  bool authenticatedByKey_ = false; // by a team key
   TimePoint arrived_;
   TimePoint deadline_;
 };
 
-// One request on its way; lives as long as its handler. The promises it keeps:
-// a request that may not be repeated gives bytes to one endpoint only, unless
-// that one proves that it did not run it; an answer reaches the caller only
-// whole, or as a stream that is visibly cut; the events of a stream follow each
-// other without a gap, from however many engines they come.
+// Processes one request; it lives as long as the request's handler. Guarantees:
+//
+// - A request that must not be repeated is sent to one endpoint only, unless
+//   that endpoint proves that it did not run the request.
+// - The caller receives a complete response, or a stream that is recognizably
+//   truncated.
+// - The events of a stream are contiguous, even if several engines produced
+//   them.
 class RequestRun
 {
 public:
@@ -71,86 +74,90 @@
     SuspectWatch& suspects_;
     EndpointLimiter& limiter_;
     boost::asio::any_io_executor executor_;
-    LoadWords& words_; // for the other hosts
+    LoadWords& words_; // sends load messages to the other hosts
   };
 
   RequestRun(Parts aParts, HttpExchange& aExchange, RoutedRequest aRequest);
 
-  /// Runs until the caller has its answer.
-  /// @return an error when it has none yet, or when its stream was cut
+  /// Runs until the caller has the response.
+  /// @return an error if no response was sent, or if a stream was truncated
   boost::asio::awaitable<Outcome<void>> Run();
 
-  /// Gives the time from arrival to the first byte of the answer; nothing
-  /// before it.
-  std::optional<std::chrono::microseconds> FirstAnswer() const
+  /// Returns the time from the request's arrival to the start of the response;
+  /// nothing if there is no response yet.
+  std::optional<std::chrono::microseconds> TimeToFirstByte() const
   {
-    return firstAnswer_;
+    return timeToFirstByte_;
   }
 
-  /// Gives the longest pause between two pieces of a stream; zero when there
-  /// was none.
+  /// Returns the longest time between two consecutive writes of stream events;
+  /// zero if there were fewer than two.
   std::chrono::microseconds LongestGap() const { return longestGap_; }
 
-  /// Gives the status that the caller was sent; 0 while none was.
+  /// Returns the HTTP status sent to the caller; 0 if none was sent yet.
   int Status() const { return status_; }
 
-  /// Gives how many endpoints the request was given to.
+  /// Returns the number of attempts in which an endpoint may have received
+  /// part of the request.
   int Sends() const { return sends_; }
 
 private:
   using Call = std::unique_ptr<HttpCall>;
 
-  std::optional<Error> WhyNotSend() const;
+  std::optional<Error> CheckSendPreconditions() const;
   std::optional<Error> Admit(const FleetPlacement& aPlacement) const;
   std::chrono::milliseconds RemainingTime() const;
-  Error Refusal(const FleetPlacement& aPlacement,
-                std::chrono::milliseconds aReturn) const;
-  HoldDecision JudgeHold(const FleetPlacement& aPlacement) const;
-  std::optional<std::chrono::milliseconds> WaitForRoom();
-  std::optional<std::chrono::milliseconds> WaitForPermit();
-  Error NoEndpoint();
+  Error MakeRefusal(const FleetPlacement& aPlacement,
+                    std::chrono::milliseconds aRetryAfter) const;
+  HoldDecision DecideHold(const FleetPlacement& aPlacement) const;
+  std::optional<std::chrono::milliseconds> DelayForMemory();
+  std::optional<std::chrono::milliseconds> DelayForPermit();
+  Error MakeNoEndpointError();
   HoldInput MakeHoldInput(const EngineProfile& aFigures,
                           std::chrono::microseconds aWait) const;
-  const EngineProfile* Figures() const;
+  const EngineProfile* FindEngineProfile() const;
   FleetQuery MakeQuery() const;
-  HttpRequest MakeSend(const FleetPlacement& aPlacement,
-                       const MemoryHolds* aHolds) const;
-  boost::asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> TakeMemory(
-    const FleetPlacement& aPlacement);
+  HttpRequest MakeEndpointRequest(const FleetPlacement& aPlacement,
+                                  const MemoryReservation* aReservation) const;
+  boost::asio::awaitable<Outcome<std::unique_ptr<MemoryReservation>>>
+  ReserveMemory(const FleetPlacement& aPlacement);
   boost::asio::awaitable<Outcome<void>> Attempt(FleetPlacement aPlacement);
   boost::asio::awaitable<Outcome<void>> ReadHead(HttpCall& aCall,
                                                  Fleet::Use& aUse);
-  boost::asio::awaitable<Outcome<std::optional<std::string>>> ReadPiece(
+  boost::asio::awaitable<Outcome<std::optional<std::string>>> ReadChunk(
     HttpCall& aCall,
     const Fleet::Use& aUse);
-  std::optional<Error> CheckHead(const HttpResponse& aHead,
-                                 const Fleet::Use& aUse);
-  void NoteRate(const EndpointFacts& aFacts, const Fleet::Use& aUse);
-  boost::asio::awaitable<Outcome<void>> PassWhole(HttpCall& aCall,
-                                                  const Fleet::Use& aUse);
-  boost::asio::awaitable<Outcome<void>> PassLarge(HttpCall& aCall,
-                                                  std::string aBegin);
-  boost::asio::awaitable<Outcome<void>> PassStream(HttpCall& aCall,
-                                                   Fleet::Use& aUse);
-  Outcome<std::string> TakeEvents(EventSplitter& aSplitter);
+  std::optional<Error> ValidateHead(const HttpResponse& aHead,
+                                    const Fleet::Use& aUse);
+  void RecordRateLimit(const EndpointFacts& aFacts, const Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> ForwardBuffered(HttpCall& aCall,
+                                                        const Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> ForwardUnbuffered(
+    HttpCall& aCall,
+    std::string aBuffered);
+  boost::asio::awaitable<Outcome<void>> ForwardStream(HttpCall& aCall,
+                                                      Fleet::Use& aUse);
+  Outcome<std::string> ParseEvents(EventSplitter& aSplitter);
   boost::asio::awaitable<Outcome<void>> WriteEvents(const HttpResponse& aHead,
                                                     std::string aEvents);
-  boost::asio::awaitable<bool> OpenStream(const HttpResponse& aHead);
-  boost::asio::awaitable<Outcome<void>> SendKept();
-  void TellPlaced(const FleetPlacement& aPlacement) const;
-  void NoteBroken(const ListedEndpoint& aEndpoint, const Error& aError);
-  bool MayRepeat(const Error& aError);
-  bool MayLeave() const;
-  TimePoint SilentAt() const;
-  TimePoint LookAgainAt() const;
-  bool LeavesSilent(const Fleet::Use& aUse);
-  bool IsSilence(const Error& aError) const;
-  bool PayRepeat();
-  void SayWhenToReturn(Error aError);
-  void NoteAnswer(int aStatus);
-  void NotePiece();
-  void LogPlaced(const FleetPlacement& aPlacement) const;
-  void LogFailed(const FleetPlacement& aPlacement, const Error& aError) const;
+  boost::asio::awaitable<bool> EnsureStreamStarted(const HttpResponse& aHead);
+  boost::asio::awaitable<Outcome<void>> SendSavedFailure();
+  void AnnouncePlacement(const FleetPlacement& aPlacement) const;
+  void RecordLostConnection(const ListedEndpoint& aEndpoint,
+                            const Error& aError);
+  bool MayRetry(const Error& aError);
+  bool MayRetryElsewhere() const;
+  TimePoint StallDeadline() const;
+  TimePoint NextStallCheck() const;
+  bool TryAbandonStalled(const Fleet::Use& aUse);
+  bool IsStallTimeout(const Error& aError) const;
+  bool TryConsumeRetryBudget();
+  void EnsureRetryDelay(Error aError);
+  void RecordResponseStart(int aStatus);
+  void RecordStreamChunk();
+  void LogPlacement(const FleetPlacement& aPlacement) const;
+  void LogFailedAttempt(const FleetPlacement& aPlacement,
+                        const Error& aError) const;
 
   Parts parts_;
   HttpExchange& exchange_;
@@ -158,16 +165,17 @@
   AttemptErrors attempts_;
   EventSequence events_;
   std::set<std::string> tried_;
-  int sends_ = 0; // endpoints that got bytes of the request
-  TimePoint::duration unreachable_{ 0 }; // lost on endpoints not connected to
-  bool repeatPaid_ = false;              // for the next send
-  bool streaming_ = false;               // the head of a stream is out
+  int sends_ = 0; // attempts that sent at least part of the request
+  // Total time of the attempts that sent nothing, such as failed connections.
+  TimePoint::duration timeOnUnsentAttempts_{ 0 };
+  bool retryBudgeted_ = false; // the budget has been charged for the next send
+  bool streamStarted_ = false; // the head has been sent to the caller
   int status_ = 0;
-  // An endpoint's failure, kept to be delivered when a repeat brings nothing
-  // better.
-  std::optional<HttpResponse> kept_;
-  std::optional<std::chrono::microseconds> firstAnswer_;
-  TimePoint lastPiece_{}; // of a stream, when it was passed on
+  // A 5xx response of an endpoint, sent to the caller if the retries don't
+  // produce a better one.
+  std::optional<HttpResponse> savedFailure_;
+  std::optional<std::chrono::microseconds> timeToFirstByte_;
+  TimePoint lastChunk_{}; // when stream events were last forwarded
   std::chrono::microseconds longestGap_{ 0 };
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
+++ b/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
@@ -1,5 +1,5 @@
-// Watches for requests that end the endpoints which run them, and finds out
-// whether an endpoint that broke off has ended or lives.
+// Detects poison requests, which crash the endpoints that run them. After a
+// lost connection, checks whether the endpoint has exited or is still running.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
@@ -19,7 +19,7 @@
 
 namespace gooseberrylift {
 
-// Safe from any thread. It must outlive what it spawned on its executor.
+// Thread-safe. Must outlive the tasks that it spawns on its executor.
 class SuspectWatch
 {
 public:
@@ -27,38 +27,39 @@
   {
     HttpClient& client_;
     boost::asio::any_io_executor executor_;
-    // The other hosts are to know at once which requests are refused.
+    // Called when a request has been quarantined, so that the peers learn of it
+    // at once.
     std::function<void()> tell_;
   };
 
   explicit SuspectWatch(Parts aParts);
 
-  /// Notes that an endpoint broke off a request, and looks soon after whether
-  /// it still listens.
+  /// Records that the connection to an endpoint broke while it ran a request,
+  /// and checks shortly afterwards whether the endpoint still listens.
   void OnConnectionLost(const std::string& aFingerprint,
                         const ListedEndpoint& aEndpoint);
 
-  /// Notes that an endpoint has ended: it has started again.
+  /// Records that an endpoint has exited, as its restart shows.
   void OnEndpointExit(const std::string& aEndpoint);
 
-  /// Says whether a request is to be refused.
+  /// Returns whether a request must be rejected.
   bool IsQuarantined(const std::string& aFingerprint);
 
-  /// Takes in what a peer refuses.
+  /// Merges the quarantine entries of a peer.
   void OnPeer(const std::vector<QuarantineEntry>& aEntries);
 
-  /// Gives what is refused, for the peers.
+  /// Returns the current quarantine entries, which are sent to the peers.
   std::vector<QuarantineEntry> Entries();
 
 private:
-  boost::asio::awaitable<void> Look(ListedEndpoint aEndpoint);
-  void Announce(const std::vector<std::string>& aFingerprints,
-                const std::string& aEndpoint);
+  boost::asio::awaitable<void> CheckForExit(ListedEndpoint aEndpoint);
+  void ReportQuarantined(const std::vector<std::string>& aFingerprints,
+                         const std::string& aEndpoint);
 
   Parts parts_;
-  std::mutex mutex_; // guards what follows
-  PoisonRequestDetector suspects_{ PoisonRequestDetector::Options{} };
-  std::set<std::string> looking_; // endpoints that are being looked at
+  std::mutex mutex_; // guards the members below
+  PoisonRequestDetector detector_{ PoisonRequestDetector::Options{} };
+  std::set<std::string> beingChecked_; // endpoints with a pending check
 };
 
 } // namespace gooseberrylift
