--- a/src/gateway/gooseberrylift-endpoint-limiter.cc
+++ b/src/gateway/gooseberrylift-endpoint-limiter.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Fields of questions and answers between hosts.
+// Fields of permit requests and responses between hosts.
 constexpr const char* kRates = "rates";
 constexpr const char* kPermits = "permits";
 constexpr const char* kRetryMs = "retry_ms";
@@ -39,17 +39,17 @@
   return "endpoint=\"" + aEndpoint + "\"";
 }
 
-double DrawPhase()
+double RandomPhase()
 {
   std::random_device source;
   return std::uniform_real_distribution<>(0, 1)(source);
 }
 
-json MakeQuestion(const EndpointRate& aRate)
+json MakePermitRequest(const EndpointRate& aRate)
 {
-  json question;
-  question[kRates] = EndpointRatesToJson({ aRate });
-  return question;
+  json params;
+  params[kRates] = EndpointRatesToJson({ aRate });
+  return params;
 }
 
 } // namespace
@@ -57,7 +57,7 @@
 EndpointLimiter::EndpointLimiter(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
-  , granter_({ .phase_ = DrawPhase() })
+  , granter_({ .phase_ = RandomPhase() })
   , random_(std::random_device{}())
 {
 }
@@ -104,7 +104,7 @@
 
 void EndpointLimiter::SetPeers(const std::vector<Digest>& aLive,
                                std::size_t aKnown,
-                               bool aLeaves)
+                               bool aStopping)
 {
   const bool small = aKnown < PeerTable::kSmallFleet;
   std::map<std::string, std::vector<PeerMember>> hosts;
@@ -115,14 +115,15 @@
     }
   }
   const std::string scope = small ? std::string() : options_.zone_;
-  if (!aLeaves || aLive.empty()) {
+  if (!aStopping || aLive.empty()) {
     hosts[scope].push_back({ .host_ = options_.host_ });
   }
   const std::lock_guard lock(mutex_);
-  // One that hears none of the others can't know what they grant.
-  granters_ = aLive.empty() ? aKnown + 1 : 1;
+  // A host that is disconnected from all others can't know what they grant, so
+  // it assumes that each of them grants permits too.
+  granterCount_ = aLive.empty() ? aKnown + 1 : 1;
   hosts_ = std::move(hosts);
-  scope_ = scope;
+  ownScope_ = scope;
 }
 
 std::vector<EndpointRate> EndpointLimiter::Entries()
@@ -142,30 +143,30 @@
 {
   const TimePoint now = TimerService::Now();
   LimitedEndpoints limited;
-  std::vector<EndpointRate> asks;
+  std::vector<EndpointRate> requests;
   {
     const std::lock_guard lock(mutex_);
     if (!rates_.HasLimits()) {
       return limited;
     }
     for (const ListedEndpoint& candidate : aCandidates) {
-      const Incarnation life = candidate.IncarnationId();
-      const auto rate = rates_.Find(life);
+      const Incarnation incarnation = candidate.IncarnationId();
+      const auto rate = rates_.Find(incarnation);
       if (!rate || !rate->perSecond_) {
         continue;
       }
-      if (permits_.Has(life, now)) {
-        limited.permitted_.insert(life.id_);
+      if (permits_.Has(incarnation, now)) {
+        limited.permitted_.insert(incarnation.id_);
         continue;
       }
-      limited.withheld_.insert(life.id_);
-      if (permits_.TryBeginRequest(life, now)) {
-        asks.push_back(*rate);
+      limited.withheld_.insert(incarnation.id_);
+      if (permits_.TryBeginRequest(incarnation, now)) {
+        requests.push_back(*rate);
       }
     }
   }
-  for (EndpointRate& ask : asks) {
-    SpawnTask(parts_.executor_, RequestPermits(std::move(ask)));
+  for (EndpointRate& request : requests) {
+    SpawnTask(parts_.executor_, RequestPermits(std::move(request)));
   }
   for (const std::string& id : limited.withheld_) {
     parts_.metrics_.Count("gooseberrylift_limited_endpoint_withheld_total",
@@ -203,7 +204,7 @@
   return soonest;
 }
 
-// With the mutex locked.
+// Must be called with mutex_ locked.
 EndpointLimiter::Granter EndpointLimiter::GranterFor(
   const Incarnation& aEndpoint)
 {
@@ -217,8 +218,8 @@
     return {};
   }
   const std::vector<PeerMember>& members = found->second;
-  if (found->first != scope_) {
-    // Any host there knows which one of its zone grants.
+  if (found->first != ownScope_) {
+    // Each host of that zone can name the zone's granting host.
     return members[random_() % members.size()];
   }
   std::vector<std::string> names;
@@ -241,14 +242,14 @@
     const std::lock_guard lock(mutex_);
     granter = GranterFor(endpoint);
     if (granter.host_ == options_.host_) {
-      permits_.OnGrant(endpoint, Grant(aRate), TimerService::Now());
+      permits_.OnGrant(endpoint, GrantPermits(aRate), TimerService::Now());
       co_return;
     }
   }
   if (!granter.host_.empty()) {
-    const auto answer = co_await AskPeers(std::move(aRate), granter);
+    const auto answer = co_await RequestFromGranter(std::move(aRate), granter);
     if (answer) {
-      TakeIn(endpoint, answer.value());
+      ApplyGrant(endpoint, answer.value());
       co_return;
     }
   }
@@ -256,52 +257,56 @@
   permits_.OnRequestFailed(endpoint, TimerService::Now());
 }
 
-// Asks the granting host; one that does not grant names the one that does.
-asio::awaitable<Outcome<json>> EndpointLimiter::AskPeers(EndpointRate aRate,
-                                                         Granter aGranter)
+// Sends a permit request to the presumed granting host. If that host doesn't
+// grant for this endpoint, it names the one that does, which is tried next.
+asio::awaitable<Outcome<json>> EndpointLimiter::RequestFromGranter(
+  EndpointRate aRate,
+  Granter aGranter)
 {
-  const TimePoint deadline = TimerService::Now() + options_.askTimeout_;
-  auto answer = co_await parts_.call_(aGranter, MakeQuestion(aRate), deadline);
+  const TimePoint deadline = TimerService::Now() + options_.requestTimeout_;
+  auto answer =
+    co_await parts_.call_(aGranter, MakePermitRequest(aRate), deadline);
   if (!answer || !answer.value().contains(kGranter)) {
     co_return answer;
   }
   aGranter.host_ = answer.value().value(kGranter, "");
   aGranter.address_ = answer.value().value(kGranterAddress, "");
-  co_return co_await parts_.call_(aGranter, MakeQuestion(aRate), deadline);
+  co_return co_await parts_.call_(aGranter, MakePermitRequest(aRate), deadline);
 }
 
-void EndpointLimiter::TakeIn(const Incarnation& aEndpoint, const json& aAnswer)
+void EndpointLimiter::ApplyGrant(const Incarnation& aEndpoint,
+                                 const json& aAnswer)
 {
-  RateGrant verdict;
+  RateGrant grant;
   std::vector<EndpointRate> rates;
   try {
     rates = EndpointRatesFromJson(aAnswer.at(kRates));
-    verdict.permits_ = aAnswer.value(kPermits, 0);
-    verdict.retryAfter_ =
-      milliseconds(aAnswer.at(kRetryMs).get<std::int64_t>());
+    grant.permits_ = aAnswer.value(kPermits, 0);
+    grant.retryAfter_ = milliseconds(aAnswer.at(kRetryMs).get<std::int64_t>());
   } catch (const json::exception&) {
-    // Also of a host that was named as the granting one and is none.
+    // Also if the host named as the granting one doesn't grant either.
     const std::lock_guard lock(mutex_);
     permits_.OnRequestFailed(aEndpoint, TimerService::Now());
     return;
   }
   {
     const std::lock_guard lock(mutex_);
-    permits_.OnGrant(aEndpoint, verdict, TimerService::Now());
+    permits_.OnGrant(aEndpoint, grant, TimerService::Now());
   }
   OnPeer(rates);
 }
 
-// With the mutex locked.
-RateGrant EndpointLimiter::Grant(const EndpointRate& aRate)
+// Must be called with mutex_ locked.
+RateGrant EndpointLimiter::GrantPermits(const EndpointRate& aRate)
 {
   const auto known = rates_.Find(aRate.endpoint_);
   const auto rate = known ? known->perSecond_ : aRate.perSecond_;
   if (!rate) {
-    return {}; // its limit has ended, as the entry tells the asking host
+    // The limit was lifted. The requesting host learns it from the entry.
+    return {};
   }
   return granter_.RequestPermits(
-    aRate.endpoint_, *rate, granters_, TimerService::Now());
+    aRate.endpoint_, *rate, granterCount_, TimerService::Now());
 }
 
 json EndpointLimiter::Answer(const json& aParams)
@@ -310,7 +315,7 @@
   try {
     rates = EndpointRatesFromJson(aParams.at(kRates));
   } catch (const json::exception&) {
-    Log(LogEvent::kPeerRefused, { { "reason", "question not readable" } });
+    Log(LogEvent::kPeerRefused, { { "reason", "malformed permit request" } });
   }
   if (rates.size() != 1) {
     return json::object();
@@ -328,11 +333,11 @@
     answer[kGranterAddress] = granter.address_;
     return answer;
   }
-  const RateGrant verdict = Grant(asked);
+  const RateGrant grant = GrantPermits(asked);
   answer[kRates] =
     EndpointRatesToJson({ rates_.Find(asked.endpoint_).value_or(asked) });
-  answer[kPermits] = verdict.permits_;
-  answer[kRetryMs] = verdict.retryAfter_.count();
+  answer[kPermits] = grant.permits_;
+  answer[kRetryMs] = grant.retryAfter_.count();
   return answer;
 }
 
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -17,33 +17,34 @@
 
 namespace {
 
-// For a host that has just started: the store answers within a few ms, and
-// peers are there for the caller meanwhile.
-constexpr milliseconds kUntilConfigured{ 300 };
+// For a host that has just started: the store responds within a few
+// milliseconds, and the caller can use other hosts meanwhile.
+constexpr milliseconds kConfigurationRetryDelay{ 300 };
 
-// How long a starting host holds a request until it has proven routes.
+// How long a starting host holds a request while its routes are not yet proven
+// to be current.
 constexpr milliseconds kFirstProofWait{ 400 };
-constexpr milliseconds kFirstProofStep{ 10 };
+constexpr milliseconds kFirstProofPollInterval{ 10 };
 
-Error NotConfigured()
+Error MakeNotConfiguredError()
 {
   Error error = MakeError(ResultCode::kNoConfiguration);
-  error.retryAfter_ = kUntilConfigured;
+  error.retryAfter_ = kConfigurationRetryDelay;
   return error;
 }
 
 } // namespace
 
-int StatusOf(const Error& aError)
+int HttpStatusOf(const Error& aError)
 {
   if (aError.code_ == ResultCode::kUnknownTeamKey) {
-    return 401; // as client libraries and the fleet's callers expect it
+    return 401; // expected by client libraries and the fleet's callers
   }
   const int status = InfoOf(aError.code_).httpStatus_;
-  const bool promises =
+  const bool meansNotRun =
     status == 408 || status == 421 || status == 429 || status == 503;
   if (aError.ran_ != RanState::kNo) {
-    return promises ? 502 : status;
+    return meansNotRun ? 502 : status;
   }
   return status >= 500 ? 503 : status;
 }
@@ -62,7 +63,7 @@
                          .arrived_ = aArrived };
   request.facts_ = std::move(aFacts);
   if (!request.table_) {
-    return NotConfigured();
+    return MakeNotConfiguredError();
   }
   request.route_ = request.table_->Match(request.facts_.host_, aRequest.Path());
   if (request.route_ == nullptr) {
@@ -70,10 +71,11 @@
   }
   request.priority_ = request.route_->priority_;
   if (request.table_->NeedsKeys() && !request.route_->public_) {
-    // Before a key is judged, it must be sure that the keys are the newest.
+    // With an outdated key list, a revoked key could be accepted and a new one
+    // rejected.
     if (!parts_.run_.routes_.KeysAreProven()) {
       Error error = MakeError(ResultCode::kFreshnessLost);
-      error.retryAfter_ = kUntilConfigured;
+      error.retryAfter_ = kConfigurationRetryDelay;
       return error;
     }
     const RoutedTeam* team = request.table_->TeamByKey(request.facts_.teamKey_);
@@ -84,24 +86,24 @@
     }
     request.team_ = team->name_;
     request.priority_ = team->priority_.value_or(request.priority_);
-    request.keyed_ = true;
+    request.authenticatedByKey_ = true;
   }
   request.fingerprint_ = RequestFingerprint(
     aRequest.target_, request.facts_.teamKey_, aRequest.body_);
-  request.service_ = RouteTable::ChooseService(*request.route_, Draw());
-  const milliseconds patience =
+  request.service_ = RouteTable::ChooseService(*request.route_, RandomNumber());
+  const milliseconds timeout =
     request.facts_.patience_.value_or(request.route_->timeout_);
-  request.deadline_ = aArrived + std::min(patience, request.route_->timeout_);
+  request.deadline_ = aArrived + std::min(timeout, request.route_->timeout_);
   return request;
 }
 
-// After a fleet-wide power loss callers reconnect before the routes are proven,
-// and each refusal would use up one of a caller's few retries.
+// After a fleet-wide power loss, callers reconnect before the routes are proven
+// to be current, and each rejection would use up one of a caller's few retries.
 asio::awaitable<void> GatewayFront::WaitForFirstProof()
 {
   const TimePoint limit = TimerService::Now() + kFirstProofWait;
   while (parts_.expediteFirstProof_() && TimerService::Now() < limit) {
-    co_await TimerService::SleepFor(kFirstProofStep);
+    co_await TimerService::SleepFor(kFirstProofPollInterval);
   }
 }
 
@@ -113,8 +115,8 @@
   const std::string attemptId = facts.attemptId_;
   auto request = Resolve(aExchange.Request(), std::move(facts), arrived);
   if (!request) {
-    NoteFailed(attemptId, {}, request.error(), arrived);
-    co_await AnswerFailure(aExchange, attemptId, request.error());
+    RecordFailure(attemptId, {}, request.error(), arrived);
+    co_await SendErrorResponse(aExchange, attemptId, request.error());
     co_return;
   }
   const RoutedRequest& routed = request.value();
@@ -124,27 +126,28 @@
   }
   aExchange.SetDeadline(routed.deadline_);
   RequestRun run(parts_.run_, aExchange, routed);
-  const auto done = co_await Serve(aExchange, run);
+  const auto done = co_await RunRequest(aExchange, run);
   if (done) {
-    NoteServed(routed, run);
+    RecordSuccess(routed, run);
     co_return;
   }
-  NoteFailed(attemptId, routed.route_->name_, done.error(), arrived);
+  RecordFailure(attemptId, routed.route_->name_, done.error(), arrived);
   if (!aExchange.Started()) {
-    co_await AnswerFailure(aExchange, attemptId, done.error());
+    co_await SendErrorResponse(aExchange, attemptId, done.error());
   }
-  // A stream that was begun stays unfinished, which shows that it was cut.
+  // A started stream is left unfinished, which tells the caller that it is
+  // truncated.
 }
 
-asio::awaitable<Outcome<void>> GatewayFront::Serve(HttpExchange& aExchange,
-                                                   RequestRun& aRun)
+asio::awaitable<Outcome<void>> GatewayFront::RunRequest(HttpExchange& aExchange,
+                                                        RequestRun& aRun)
 {
   Outcome<void> done = boost::outcome_v2::success();
   bool aborted = false;
   try {
     done = co_await aRun.Run();
   } catch (const boost::system::system_error&) {
-    aborted = true; // what the run awaited was cancelled; see Reason
+    aborted = true; // the awaited operation was cancelled; see Reason()
   }
   co_await asio::this_coro::reset_cancellation_state();
   const bool stopped = aExchange.Reason() == AbortReason::kStopping;
@@ -154,33 +157,35 @@
   Error error = MakeError(CodeOf(aExchange.Reason(), ResultCode::kCallerLeft));
   error.ran_ = aRun.Sends() > 0 ? RanState::kUnknown : RanState::kNo;
   if (stopped && error.ran_ == RanState::kNo) {
-    error.retryAfter_ = RetrySoon();
+    error.retryAfter_ = RandomRetryDelay();
   }
   co_return error;
 }
 
-asio::awaitable<void> GatewayFront::AnswerFailure(HttpExchange& aExchange,
-                                                  const std::string& aAttemptId,
-                                                  const Error& aError)
+asio::awaitable<void> GatewayFront::SendErrorResponse(
+  HttpExchange& aExchange,
+  const std::string& aAttemptId,
+  const Error& aError)
 {
   if (aExchange.Reason() == AbortReason::kCallerLeft ||
       aExchange.Reason() == AbortReason::kCallerStalled) {
     co_return;
   }
   HttpResponse answer =
-    parts_.dialect_.OwnAnswer(StatusOf(aError), aError, aAttemptId);
+    parts_.dialect_.OwnAnswer(HttpStatusOf(aError), aError, aAttemptId);
   co_await aExchange.Send(std::move(answer));
 }
 
-void GatewayFront::NoteServed(const RoutedRequest& aRequest,
-                              const RequestRun& aRun)
+void GatewayFront::RecordSuccess(const RoutedRequest& aRequest,
+                                 const RequestRun& aRun)
 {
   parts_.metrics_.Count("gooseberrylift_requests_total",
                         "code=\"0\",kind=\"" +
                           std::string(NameOf(aRequest.route_->kind_)) + "\"");
-  if (aRun.FirstAnswer()) {
-    parts_.metrics_.RecordFirstToken(
-      aRequest.service_, aRequest.facts_.promptTokens_, *aRun.FirstAnswer());
+  if (aRun.TimeToFirstByte()) {
+    parts_.metrics_.RecordFirstToken(aRequest.service_,
+                                     aRequest.facts_.promptTokens_,
+                                     *aRun.TimeToFirstByte());
   }
   Log(LogEvent::kRequestServed,
       { { "request_id", aRequest.facts_.attemptId_ },
@@ -188,8 +193,8 @@
         { "status", aRun.Status() },
         { "sends", aRun.Sends() },
         { "first_ms",
-          aRun.FirstAnswer()
-            ? duration_cast<milliseconds>(*aRun.FirstAnswer()).count()
+          aRun.TimeToFirstByte()
+            ? duration_cast<milliseconds>(*aRun.TimeToFirstByte()).count()
             : -1 },
         { "longest_gap_ms",
           duration_cast<milliseconds>(aRun.LongestGap()).count() },
@@ -198,10 +203,10 @@
             .count() } });
 }
 
-void GatewayFront::NoteFailed(const std::string& aAttemptId,
-                              const std::string& aRoute,
-                              const Error& aError,
-                              TimePoint aArrived)
+void GatewayFront::RecordFailure(const std::string& aAttemptId,
+                                 const std::string& aRoute,
+                                 const Error& aError,
+                                 TimePoint aArrived)
 {
   const int code = static_cast<int>(aError.code_);
   parts_.metrics_.Count("gooseberrylift_requests_total",
@@ -210,7 +215,7 @@
       { { "request_id", aAttemptId },
         { "route", aRoute },
         { "code", code },
-        { "status", StatusOf(aError) },
+        { "status", HttpStatusOf(aError) },
         { "text", aError.text_ },
         { "ran", NameOf(aError.ran_) },
         { "retry_after_ms",
--- a/src/gateway/gooseberrylift-memory-holds.cc
+++ b/src/gateway/gooseberrylift-memory-holds.cc
@@ -8,10 +8,10 @@
 
 namespace asio = boost::asio;
 
-MemoryHolds::MemoryHolds(Parts aParts,
-                         std::string aTicketId,
-                         std::uint64_t aTokens,
-                         Options aOptions)
+MemoryReservation::MemoryReservation(Parts aParts,
+                                     std::string aTicketId,
+                                     std::uint64_t aTokens,
+                                     Options aOptions)
   : parts_(std::move(aParts))
   , ticketId_(std::move(aTicketId))
   , tokens_(aTokens)
@@ -19,88 +19,89 @@
 {
 }
 
-MemoryHolds::~MemoryHolds()
+MemoryReservation::~MemoryReservation()
 {
   renewal_.Cancel();
-  const TimePoint deadline = TimerService::Now() + options_.orderTimeout_;
+  const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
   for (const std::string& address : addresses_) {
     SpawnCleanup(
       parts_.executor_,
-      SendOrder(
+      SendBestEffort(
         parts_, address, parts_.dialect_.ReleaseOrder(ticketId_), deadline));
   }
 }
 
-asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> MemoryHolds::Take(
-  Parts aParts,
-  std::string aTicketId,
-  std::vector<ListedEndpoint> aEndpoints,
-  std::uint64_t aTokens,
-  Options aOptions)
+asio::awaitable<Outcome<std::unique_ptr<MemoryReservation>>>
+MemoryReservation::Acquire(Parts aParts,
+                           std::string aTicketId,
+                           std::vector<ListedEndpoint> aEndpoints,
+                           std::uint64_t aTokens,
+                           Options aOptions)
 {
   std::sort(aEndpoints.begin(),
             aEndpoints.end(),
             [](const ListedEndpoint& aLeft, const ListedEndpoint& aRight) {
               return aLeft.id_ < aRight.id_;
             });
-  std::unique_ptr<MemoryHolds> holds(
-    new MemoryHolds(aParts, std::move(aTicketId), aTokens, aOptions));
+  std::unique_ptr<MemoryReservation> reservation(
+    new MemoryReservation(aParts, std::move(aTicketId), aTokens, aOptions));
   for (const ListedEndpoint& endpoint : aEndpoints) {
-    // Noted first: an order without an answer may have been carried out.
-    holds->addresses_.push_back(endpoint.address_);
-    const auto reserved = co_await holds->Reserve(endpoint.address_);
+    // Recorded before the call, which may take effect even if its response is
+    // lost.
+    reservation->addresses_.push_back(endpoint.address_);
+    const auto reserved = co_await reservation->Reserve(endpoint.address_);
     if (!reserved) {
       Error refusal = reserved.error();
       refusal.text_ = endpoint.id_ + ": " + refusal.text_;
       co_return refusal;
     }
   }
-  MemoryHolds* self = holds.get();
-  holds->renewal_ = TimerService::Every(
-    aOptions.renewEvery_, aParts.executor_, [self] { self->Renew(); });
-  co_return std::move(holds);
+  MemoryReservation* self = reservation.get();
+  reservation->renewal_ = TimerService::Every(
+    aOptions.renewInterval_, aParts.executor_, [self] { self->Renew(); });
+  co_return std::move(reservation);
 }
 
-asio::awaitable<Outcome<void>> MemoryHolds::Reserve(std::string aAddress)
+asio::awaitable<Outcome<void>> MemoryReservation::Reserve(std::string aAddress)
 {
-  HttpRequest order =
-    parts_.dialect_.ReserveOrder(ticketId_, tokens_, options_.holdFor_);
+  HttpRequest request =
+    parts_.dialect_.ReserveOrder(ticketId_, tokens_, options_.duration_);
   const auto answer =
     co_await parts_.client_.Fetch(std::move(aAddress),
-                                  std::move(order),
-                                  TimerService::Now() + options_.orderTimeout_);
+                                  std::move(request),
+                                  TimerService::Now() + options_.callTimeout_);
   if (!answer || answer.value().status_ != 200) {
     co_return Error{ .code_ = ResultCode::kEndpointRefused,
                      .text_ = answer ? "no room, status " +
                                          std::to_string(answer.value().status_)
                                      : answer.error().text_,
-                     .retryAfter_ = options_.orderTimeout_ };
+                     .retryAfter_ = options_.callTimeout_ };
   }
   co_return boost::outcome_v2::success();
 }
 
-void MemoryHolds::Renew()
+void MemoryReservation::Renew()
 {
-  const TimePoint deadline = TimerService::Now() + options_.orderTimeout_;
+  const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
   for (const std::string& address : addresses_) {
     SpawnTask(parts_.executor_,
-              SendOrder(parts_,
-                        address,
-                        parts_.dialect_.ReserveOrder(
-                          ticketId_, tokens_, options_.holdFor_),
-                        deadline));
+              SendBestEffort(parts_,
+                             address,
+                             parts_.dialect_.ReserveOrder(
+                               ticketId_, tokens_, options_.duration_),
+                             deadline));
   }
 }
 
-// The answer is not waited for by anyone: what a lost order leaves undone, the
-// engine does itself when the hold runs out.
-asio::awaitable<void> MemoryHolds::SendOrder(Parts aParts,
-                                             std::string aAddress,
-                                             HttpRequest aOrder,
-                                             TimePoint aDeadline)
+// The result is ignored: if the request is lost, the engine releases the memory
+// when the reservation expires.
+asio::awaitable<void> MemoryReservation::SendBestEffort(Parts aParts,
+                                                        std::string aAddress,
+                                                        HttpRequest aRequest,
+                                                        TimePoint aDeadline)
 {
   (void)co_await aParts.client_.Fetch(
-    std::move(aAddress), std::move(aOrder), aDeadline);
+    std::move(aAddress), std::move(aRequest), aDeadline);
 }
 
 } // namespace gooseberrylift
--- a/src/gateway/gooseberrylift-request-answer.cc
+++ b/src/gateway/gooseberrylift-request-answer.cc
@@ -1,4 +1,5 @@
-// How a request run reads an endpoint's answer and passes it on to the caller.
+// The part of RequestRun that reads an endpoint's response and forwards it to
+// the caller.
 
 #include "gooseberrylift/internal/gooseberrylift-request-run.h"
 
@@ -16,74 +17,79 @@
 
 namespace {
 
-// An endpoint's answer is held back up to this size, so that one that breaks
-// off can still be fetched elsewhere; what is larger is passed on as it comes.
-constexpr std::size_t kHeldBytes = 256 * 1024;
+// Responses up to this size are buffered, so that the request can still be
+// retried at another endpoint if the response breaks off. Larger ones are
+// forwarded as they arrive.
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
 
-// How soon a silent endpoint is looked at again: four times in the half of a
-// caller's patience that is left then.
-constexpr std::chrono::milliseconds kLookAgain{ 250 };
+// Interval at which a silent endpoint is checked again after its stall timeout:
+// four times in the half of the caller's stall timeout that is then left.
+constexpr std::chrono::milliseconds kStallCheckInterval{ 250 };
 
-Error SilentError()
+Error MakeStallError()
 {
   return { .code_ = ResultCode::kEndpointSilent, .ran_ = RanState::kUnknown };
 }
 
 } // namespace
 
-// Gives when the endpoint has been silent for too long, from now on.
-TimePoint RequestRun::SilentAt() const
+// Returns when the endpoint exceeds its stall timeout if it stays silent from
+// now on.
+TimePoint RequestRun::StallDeadline() const
 {
   return std::min(request_.deadline_,
                   TimerService::Now() + EndpointStallTimeout(*request_.route_));
 }
 
-// Tells a silence that may be borne on from the request's deadline.
-bool RequestRun::IsSilence(const Error& aError) const
+// Distinguishes a stall timeout, after which waiting may continue, from the
+// request's deadline.
+bool RequestRun::IsStallTimeout(const Error& aError) const
 {
   return aError.code_ == ResultCode::kDeadlineExceeded &&
          TimerService::Now() < request_.deadline_;
 }
 
-TimePoint RequestRun::LookAgainAt() const
+TimePoint RequestRun::NextStallCheck() const
 {
-  return std::min(request_.deadline_, TimerService::Now() + kLookAgain);
+  return std::min(request_.deadline_,
+                  TimerService::Now() + kStallCheckInterval);
 }
 
-// Says whether a request is to be taken from an endpoint that has been silent
-// to it for too long, and pays for that.
-bool RequestRun::LeavesSilent(const Fleet::Use& aUse)
+// Returns whether to abandon the attempt at a stalled endpoint in favor of
+// another one. If so, charges the retry budget.
+bool RequestRun::TryAbandonStalled(const Fleet::Use& aUse)
 {
   return IsRequestStalled(aUse.Signs(),
                           EndpointStallTimeout(*request_.route_)) &&
-         MayLeave() && PayRepeat();
+         MayRetryElsewhere() && TryConsumeRetryBudget();
 }
 
 asio::awaitable<Outcome<void>> RequestRun::ReadHead(HttpCall& aCall,
                                                     Fleet::Use& aUse)
 {
-  aCall.SetDeadline(SilentAt());
+  aCall.SetDeadline(StallDeadline());
   auto read = co_await aCall.ReadHead();
-  while (!read && IsSilence(read.error())) {
-    if (LeavesSilent(aUse)) {
-      co_return SilentError();
+  while (!read && IsStallTimeout(read.error())) {
+    if (TryAbandonStalled(aUse)) {
+      co_return MakeStallError();
     }
-    aCall.SetDeadline(LookAgainAt());
+    aCall.SetDeadline(NextStallCheck());
     read = co_await aCall.ReadHead();
   }
   if (!read) {
     co_return read.error();
   }
-  if (const auto fault = CheckHead(aCall.Head(), aUse)) {
-    co_return *fault;
+  if (const auto rejection = ValidateHead(aCall.Head(), aUse)) {
+    co_return *rejection;
   }
   aUse.OnHeard(request_.route_->kind_ != RouteKind::kStreaming);
   co_return boost::outcome_v2::success();
 }
 
-// Takes in an endpoint's rate limit. Another incarnation's answer says nothing
-// of this one, and one that nobody signed may not end a limit.
-void RequestRun::NoteRate(const EndpointFacts& aFacts, const Fleet::Use& aUse)
+// Records the rate limit in a response. A response of another incarnation
+// doesn't apply to this one, and an unsigned response must not lift a limit.
+void RequestRun::RecordRateLimit(const EndpointFacts& aFacts,
+                                 const Fleet::Use& aUse)
 {
   const bool isNamed =
     aFacts.rate_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
@@ -93,27 +99,27 @@
   }
 }
 
-// What the head of an answer must show before anything it says is believed.
-std::optional<Error> RequestRun::CheckHead(const HttpResponse& aHead,
-                                           const Fleet::Use& aUse)
+// Checks the head of a response before its content is trusted.
+std::optional<Error> RequestRun::ValidateHead(const HttpResponse& aHead,
+                                              const Fleet::Use& aUse)
 {
   const FleetPlacement& placement = aUse.Placement();
   const EndpointFacts facts = parts_.dialect_.ReadEndpoint(aHead);
-  // A late answer to an earlier request looks like one to this; its refusal
-  // would prove nothing about this one.
+  // A late response to an earlier request could be mistaken for this one's. A
+  // refusal in it would not prove that this request has not run.
   if (facts.attemptId_ != request_.facts_.attemptId_) {
     return Error{ .code_ = ResultCode::kEndpointCrossed,
                   .text_ = "answer to '" + facts.attemptId_ + "'",
                   .ran_ = RanState::kUnknown };
   }
-  NoteRate(facts, aUse);
+  RecordRateLimit(facts, aUse);
   if (facts.replaced_) {
     parts_.fleet_.WithDirectory([&](EndpointDirectory& aDirectory) {
       aDirectory.OnReplaced(placement.endpoint_.id_);
     });
   }
   if (facts.notRun_) {
-    // The next try must not ask the same helper again.
+    // The next attempt must not use the same helper again.
     for (const ListedEndpoint& helper : placement.helpers_) {
       if (helper.address_ == facts.atFault_) {
         tried_.insert(helper.id_);
@@ -123,59 +129,60 @@
                   .text_ =
                     "status " + std::to_string(aHead.status_) +
                     (facts.atFault_.empty() ? "" : " at " + facts.atFault_),
-                  .retryAfter_ = RetrySoon() };
+                  .retryAfter_ = RandomRetryDelay() };
   }
   if (!facts.genuine_) {
-    return Broken("an answer without the endpoint's signature");
+    return MakeBrokenError("an answer without the endpoint's signature");
   }
   if (!aHead.Field("Content-Encoding").empty()) {
-    return Broken("an encoded answer that nobody asked for");
+    return MakeBrokenError("an encoded answer that nobody asked for");
   }
   return std::nullopt;
 }
 
-asio::awaitable<Outcome<std::optional<std::string>>> RequestRun::ReadPiece(
+asio::awaitable<Outcome<std::optional<std::string>>> RequestRun::ReadChunk(
   HttpCall& aCall,
   const Fleet::Use& aUse)
 {
-  aCall.SetDeadline(SilentAt());
-  auto piece = co_await aCall.ReadSome();
-  while (!piece && IsSilence(piece.error())) {
-    if (LeavesSilent(aUse)) {
-      co_return SilentError();
+  aCall.SetDeadline(StallDeadline());
+  auto chunk = co_await aCall.ReadSome();
+  while (!chunk && IsStallTimeout(chunk.error())) {
+    if (TryAbandonStalled(aUse)) {
+      co_return MakeStallError();
     }
-    aCall.SetDeadline(LookAgainAt());
-    piece = co_await aCall.ReadSome();
+    aCall.SetDeadline(NextStallCheck());
+    chunk = co_await aCall.ReadSome();
   }
-  co_return piece;
+  co_return chunk;
 }
 
-asio::awaitable<Outcome<void>> RequestRun::PassWhole(HttpCall& aCall,
-                                                     const Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::ForwardBuffered(
+  HttpCall& aCall,
+  const Fleet::Use& aUse)
 {
   HttpResponse answer = parts_.dialect_.ForCaller(aCall.Head());
   while (true) {
-    auto piece = co_await ReadPiece(aCall, aUse);
-    if (!piece) {
-      co_return piece.error();
+    auto chunk = co_await ReadChunk(aCall, aUse);
+    if (!chunk) {
+      co_return chunk.error();
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       break;
     }
-    answer.body_ += *piece.value();
-    if (answer.body_.size() > kHeldBytes) {
-      co_return co_await PassLarge(aCall, std::move(answer.body_));
+    answer.body_ += *chunk.value();
+    if (answer.body_.size() > kMaxBufferedBytes) {
+      co_return co_await ForwardUnbuffered(aCall, std::move(answer.body_));
     }
   }
   const bool failed = answer.status_ >= 500;
-  if (failed && MayLeave() && PayRepeat()) {
+  if (failed && MayRetryElsewhere() && TryConsumeRetryBudget()) {
     const std::string text = "status " + std::to_string(answer.status_);
-    kept_ = std::move(answer);
+    savedFailure_ = std::move(answer);
     co_return Error{ .code_ = ResultCode::kEndpointFailed,
                      .text_ = text,
                      .ran_ = RanState::kYes };
   }
-  NoteAnswer(answer.status_);
+  RecordResponseStart(answer.status_);
   const bool sent = co_await exchange_.Send(std::move(answer));
   if (!sent) {
     co_return MakeError(ResultCode::kCallerLeft);
@@ -183,48 +190,49 @@
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<Outcome<void>> RequestRun::PassLarge(HttpCall& aCall,
-                                                     std::string aBegin)
+asio::awaitable<Outcome<void>> RequestRun::ForwardUnbuffered(
+  HttpCall& aCall,
+  std::string aBuffered)
 {
-  streaming_ = true;
-  NoteAnswer(aCall.Head().status_);
+  streamStarted_ = true;
+  RecordResponseStart(aCall.Head().status_);
   bool open =
     co_await exchange_.StartStream(parts_.dialect_.ForCaller(aCall.Head()));
   if (open) {
-    open = co_await exchange_.Write(aBegin);
+    open = co_await exchange_.Write(aBuffered);
   }
   while (open) {
     aCall.SetDeadline(request_.deadline_);
-    auto piece = co_await aCall.ReadSome();
-    if (!piece) {
-      co_return piece.error();
+    auto chunk = co_await aCall.ReadSome();
+    if (!chunk) {
+      co_return chunk.error();
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       co_await exchange_.Finish();
       co_return boost::outcome_v2::success();
     }
-    open = co_await exchange_.Write(*piece.value());
+    open = co_await exchange_.Write(*chunk.value());
   }
   co_return MakeError(ResultCode::kCallerLeft);
 }
 
-asio::awaitable<Outcome<void>> RequestRun::PassStream(HttpCall& aCall,
-                                                      Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::ForwardStream(HttpCall& aCall,
+                                                         Fleet::Use& aUse)
 {
   EventSplitter splitter;
   bool first = true;
   while (true) {
-    auto piece = co_await ReadPiece(aCall, aUse);
-    if (!piece) {
-      co_return piece.error();
+    auto chunk = co_await ReadChunk(aCall, aUse);
+    if (!chunk) {
+      co_return chunk.error();
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       break;
     }
     aUse.OnHeard(first);
     first = false;
-    splitter.Feed(*piece.value());
-    auto events = TakeEvents(splitter);
+    splitter.Feed(*chunk.value());
+    auto events = ParseEvents(splitter);
     if (!events) {
       co_return events.error();
     }
@@ -235,11 +243,11 @@
     }
   }
   if (splitter.Pending() > 0) {
-    co_return Broken("the stream ended within an event");
+    co_return MakeBrokenError("the stream ended within an event");
   }
-  // A stream without events may be the proper end of one that the caller goes
-  // on with.
-  bool open = co_await OpenStream(aCall.Head());
+  // An empty stream is valid, for instance when the caller resumes a stream of
+  // which it already has all events.
+  bool open = co_await EnsureStreamStarted(aCall.Head());
   if (open) {
     open = co_await exchange_.Finish();
   }
@@ -249,8 +257,9 @@
   co_return boost::outcome_v2::success();
 }
 
-// Gives the whole events that have come, as far as they follow each other.
-Outcome<std::string> RequestRun::TakeEvents(EventSplitter& aSplitter)
+// Returns the complete events received so far, without duplicates. Fails if an
+// event is missing.
+Outcome<std::string> RequestRun::ParseEvents(EventSplitter& aSplitter)
 {
   std::string events;
   while (auto event = aSplitter.Next()) {
@@ -261,7 +270,7 @@
       case EventSequence::Verdict::kDuplicate:
         break;
       case EventSequence::Verdict::kGap:
-        return Broken("an event of the stream is missing");
+        return MakeBrokenError("an event of the stream is missing");
     }
   }
   return events;
@@ -274,8 +283,8 @@
   if (aEvents.empty()) {
     co_return boost::outcome_v2::success();
   }
-  bool open = co_await OpenStream(aHead);
-  NotePiece();
+  bool open = co_await EnsureStreamStarted(aHead);
+  RecordStreamChunk();
   if (open) {
     open = co_await exchange_.Write(aEvents);
   }
@@ -285,21 +294,22 @@
   co_return boost::outcome_v2::success();
 }
 
-// Sends the head, but for a stream that another engine has begun.
-asio::awaitable<bool> RequestRun::OpenStream(const HttpResponse& aHead)
+// Sends the head of the response, unless it was already sent for an earlier
+// attempt.
+asio::awaitable<bool> RequestRun::EnsureStreamStarted(const HttpResponse& aHead)
 {
-  if (streaming_) {
+  if (streamStarted_) {
     co_return true;
   }
-  streaming_ = true;
-  NoteAnswer(aHead.status_);
+  streamStarted_ = true;
+  RecordResponseStart(aHead.status_);
   co_return co_await exchange_.StartStream(parts_.dialect_.ForCaller(aHead));
 }
 
-asio::awaitable<Outcome<void>> RequestRun::SendKept()
+asio::awaitable<Outcome<void>> RequestRun::SendSavedFailure()
 {
-  NoteAnswer(kept_->status_);
-  const bool sent = co_await exchange_.Send(std::move(*kept_));
+  RecordResponseStart(savedFailure_->status_);
+  const bool sent = co_await exchange_.Send(std::move(*savedFailure_));
   if (!sent) {
     co_return MakeError(ResultCode::kCallerLeft);
   }
--- a/src/gateway/gooseberrylift-request-errors.cc
+++ b/src/gateway/gooseberrylift-request-errors.cc
@@ -8,26 +8,27 @@
 
 namespace {
 
-// An endpoint that crashed or was full is replaced by others within some
-// hundred ms; callers come back over a second.
-constexpr milliseconds kRetrySoonest{ 200 };
-constexpr milliseconds kRetrySpread{ 600 };
+// Other endpoints replace one that crashed or is full within a few hundred
+// milliseconds. Retry delays of 200 to 800 ms spread the callers accordingly.
+constexpr milliseconds kMinRetryDelay{ 200 };
+constexpr milliseconds kRetryDelaySpread{ 600 };
 
 } // namespace
 
-std::uint64_t Draw()
+std::uint64_t RandomNumber()
 {
   thread_local std::mt19937_64 sGenerator{ std::random_device{}() };
   return sGenerator();
 }
 
-milliseconds RetrySoon()
+milliseconds RandomRetryDelay()
 {
-  return kRetrySoonest + milliseconds(Draw() % static_cast<std::uint64_t>(
-                                                 kRetrySpread.count()));
+  return kMinRetryDelay +
+         milliseconds(RandomNumber() %
+                      static_cast<std::uint64_t>(kRetryDelaySpread.count()));
 }
 
-Error Broken(std::string aText)
+Error MakeBrokenError(std::string aText)
 {
   return { .code_ = ResultCode::kEndpointBroken,
            .text_ = std::move(aText),
--- a/src/gateway/gooseberrylift-request-errors.h
+++ b/src/gateway/gooseberrylift-request-errors.h
@@ -1,4 +1,5 @@
-// Errors and random times that the parts of a request run share.
+// Errors and random retry delays shared by the sources of RequestRun and
+// GatewayFront.
 
 #ifndef GOOSEBERRYLIFT_GATEWAY_GOOSEBERRYLIFT_REQUEST_ERRORS_H_
 #define GOOSEBERRYLIFT_GATEWAY_GOOSEBERRYLIFT_REQUEST_ERRORS_H_
@@ -11,15 +12,15 @@
 
 namespace gooseberrylift {
 
-/// Gives a random number, of which each value is as likely.
-std::uint64_t Draw();
+/// Returns a uniformly distributed random number.
+std::uint64_t RandomNumber();
 
-/// Gives when to come back after a failure that passes soon: spread, so that
-/// the callers of one failed endpoint do not return in one moment.
-std::chrono::milliseconds RetrySoon();
+/// Returns a retry delay for a transient failure. It is random, so that the
+/// callers of a failed endpoint don't all retry at the same time.
+std::chrono::milliseconds RandomRetryDelay();
 
-/// Makes the error of an answer that broke off or is not what it should be.
-Error Broken(std::string aText);
+/// Returns the error for a response that is incomplete or invalid.
+Error MakeBrokenError(std::string aText);
 
 } // namespace gooseberrylift
 
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -18,29 +18,32 @@
 
 namespace {
 
-// A connection within a region is there in a few ms. An endpoint that takes
-// longer is dead or over its limit, and its caller is better served elsewhere.
+// A connection within a region is established within a few milliseconds. An
+// endpoint that takes longer is dead or overloaded, and another endpoint serves
+// the caller sooner.
 constexpr milliseconds kConnectTimeout{ 250 };
 
-// A request that may not be repeated takes no connection that was idle for
-// longer: what the endpoint closes in that moment can't be sent again.
-constexpr milliseconds kUnsafeMaxIdle{ 2'000 };
+// A request that must not be repeated doesn't reuse a connection that was idle
+// for longer than this: the endpoint may be closing it at that moment, and the
+// request could not be sent again.
+constexpr milliseconds kNonRepeatableMaxIdle{ 2'000 };
 
-// Endpoints that can't be connected to cost no budget, but time. A connection
-// that is refused costs some ms, so a request goes on as long as there are
-// others and it has not lost more than this: bounded by a count of tries,
-// requests are given up where most endpoints have died at once.
-constexpr milliseconds kMostUnreachable{ 1'000 };
+// Failed connections don't count as attempts or against the retry budget, but
+// take time. A refused connection takes only a few milliseconds, so a request
+// tries further endpoints until it has lost this much time. With a maximum
+// count instead, requests would fail if most endpoints had crashed at once.
+constexpr milliseconds kMaxTimeOnUnsentAttempts{ 1'000 };
 
-// A prompt that takes longer to read is told to the other hosts at once: the
-// time between two of their words, in which they would not know of it.
-constexpr microseconds kToldRead{ 100'000 };
+// Prompts with a longer prefill time are announced to the other hosts at once.
+// This is the interval between two load messages, during which the other hosts
+// would not know of the prompt.
+constexpr microseconds kMinAnnouncedPrefill{ 100'000 };
 
-// With less than this left no endpoint can answer any more.
-constexpr milliseconds kLeastRemaining{ 10 };
+// With less time than this left, no endpoint can respond in time.
+constexpr milliseconds kMinRemaining{ 10 };
 
-// Long enough that nobody sends a request again which ends endpoints.
-constexpr milliseconds kSuspectRetry{ 600'000 };
+// Long, because a retry of a poison request would crash more endpoints.
+constexpr milliseconds kQuarantineRetryDelay{ 600'000 };
 
 std::vector<std::string> IdsOf(const std::vector<ListedEndpoint>& aEndpoints)
 {
@@ -81,30 +84,31 @@
 asio::awaitable<Outcome<void>> RequestRun::Run()
 {
   while (true) {
-    if (const auto refusal = WhyNotSend()) {
+    if (const auto refusal = CheckSendPreconditions()) {
       attempts_.OnRefused(*refusal);
       break;
     }
     auto placement = parts_.fleet_.Place(MakeQuery());
     if (!placement) {
-      auto wait = WaitForPermit();
+      auto wait = DelayForPermit();
       if (!wait) {
-        wait = WaitForRoom();
+        wait = DelayForMemory();
       }
       if (wait) {
         co_await TimerService::SleepFor(*wait);
         continue;
       }
-      attempts_.OnRefused(NoEndpoint());
+      attempts_.OnRefused(MakeNoEndpointError());
       break;
     }
-    const HoldDecision verdict = JudgeHold(*placement);
-    if (verdict == HoldDecision::kHold) {
+    const HoldDecision decision = DecideHold(*placement);
+    if (decision == HoldDecision::kHold) {
       co_await TimerService::SleepFor(HoldOptions{}.recheckInterval_);
       continue;
     }
-    if (verdict == HoldDecision::kReject) {
-      attempts_.OnRefused(Refusal(*placement, MaxRetryDelay(RemainingTime())));
+    if (decision == HoldDecision::kReject) {
+      attempts_.OnRefused(
+        MakeRefusal(*placement, MaxRetryDelay(RemainingTime())));
       break;
     }
     if (const auto refusal = Admit(*placement)) {
@@ -114,48 +118,48 @@
     if (!parts_.fleet_.Claim(*placement)) {
       continue;
     }
-    LogPlaced(*placement);
+    LogPlacement(*placement);
     const FleetPlacement chosen = *placement;
     const auto done = co_await Attempt(std::move(*placement));
     if (done) {
       co_return boost::outcome_v2::success();
     }
-    LogFailed(chosen, done.error());
+    LogFailedAttempt(chosen, done.error());
     attempts_.OnFailed(done.error());
-    NoteBroken(chosen.endpoint_, done.error());
+    RecordLostConnection(chosen.endpoint_, done.error());
     tried_.insert(chosen.endpoint_.id_);
-    if (!MayRepeat(done.error())) {
-      SayWhenToReturn(done.error());
+    if (!MayRetry(done.error())) {
+      EnsureRetryDelay(done.error());
       break;
     }
   }
-  if (kept_) {
-    co_return co_await SendKept();
+  if (savedFailure_) {
+    co_return co_await SendSavedFailure();
   }
   co_return attempts_.FinalError();
 }
 
-// Looked at again before each send: a host that was paused meanwhile must not
-// go on with keys or deadlines of before.
-std::optional<Error> RequestRun::WhyNotSend() const
+// Checked again before each attempt: if this host was paused in the meantime,
+// the deadline may have passed and the keys may be outdated.
+std::optional<Error> RequestRun::CheckSendPreconditions() const
 {
-  if (TimerService::Now() + kLeastRemaining >= request_.deadline_) {
+  if (TimerService::Now() + kMinRemaining >= request_.deadline_) {
     return MakeError(ResultCode::kDeadlineExceeded);
   }
   if (parts_.suspects_.IsQuarantined(request_.fingerprint_)) {
     Error error = MakeError(ResultCode::kSuspectRequest);
-    error.retryAfter_ = kSuspectRetry;
+    error.retryAfter_ = kQuarantineRetryDelay;
     return error;
   }
-  if (request_.keyed_ && !parts_.routes_.KeysAreProven()) {
+  if (request_.authenticatedByKey_ && !parts_.routes_.KeysAreProven()) {
     Error error = MakeError(ResultCode::kFreshnessLost);
-    error.retryAfter_ = RetrySoon();
+    error.retryAfter_ = RandomRetryDelay();
     return error;
   }
   return std::nullopt;
 }
 
-const EngineProfile* RequestRun::Figures() const
+const EngineProfile* RequestRun::FindEngineProfile() const
 {
   const RoutedService* service =
     request_.table_->ServiceByName(request_.service_);
@@ -172,7 +176,7 @@
                   .objective_ = request_.route_->objective_,
                   .maxGap_ = request_.route_->maxGap_ },
     .tried_ = tried_,
-    .draw_ = Draw()
+    .draw_ = RandomNumber()
   };
   const RoutedService* service =
     request_.table_->ServiceByName(request_.service_);
@@ -183,8 +187,9 @@
   return query;
 }
 
-HttpRequest RequestRun::MakeSend(const FleetPlacement& aPlacement,
-                                 const MemoryHolds* aHolds) const
+HttpRequest RequestRun::MakeEndpointRequest(
+  const FleetPlacement& aPlacement,
+  const MemoryReservation* aReservation) const
 {
   EndpointSend send{ .endpointId_ = aPlacement.endpoint_.id_,
                      .team_ = request_.team_,
@@ -196,61 +201,65 @@
     send.lastEventId_ = events_.Last();
   }
   for (const ListedEndpoint& helper : aPlacement.helpers_) {
-    send.helpers_.push_back(
-      { .address_ = helper.address_,
-        .ticketId_ = aHolds == nullptr ? std::string() : aHolds->TicketId() });
+    send.helpers_.push_back({ .address_ = helper.address_,
+                              .ticketId_ = aReservation == nullptr
+                                             ? std::string()
+                                             : aReservation->TicketId() });
   }
   return parts_.dialect_.ForEndpoint(exchange_.Request(), send);
 }
 
-// Sets memory aside at the helpers where one engine can't hold the prompt.
-asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> RequestRun::TakeMemory(
-  const FleetPlacement& aPlacement)
+// Reserves memory at the helpers if the prompt doesn't fit into the memory of
+// one engine.
+asio::awaitable<Outcome<std::unique_ptr<MemoryReservation>>>
+RequestRun::ReserveMemory(const FleetPlacement& aPlacement)
 {
   if (aPlacement.reservedTokens_ == 0) {
-    co_return std::unique_ptr<MemoryHolds>();
+    co_return std::unique_ptr<MemoryReservation>();
   }
-  MemoryHolds::Parts parts{ .client_ = parts_.client_,
-                            .dialect_ = parts_.dialect_,
-                            .executor_ = parts_.executor_ };
-  MemoryHolds::Options options;
-  options.holdFor_ =
-    std::min(options.holdFor_, parts_.board_.bounds_.Read()->bounds_.maxHold_);
-  co_return co_await MemoryHolds::Take(std::move(parts),
-                                       request_.facts_.attemptId_ + "-" +
-                                         std::to_string(sends_),
-                                       aPlacement.helpers_,
-                                       aPlacement.reservedTokens_,
-                                       options);
+  MemoryReservation::Parts parts{ .client_ = parts_.client_,
+                                  .dialect_ = parts_.dialect_,
+                                  .executor_ = parts_.executor_ };
+  MemoryReservation::Options options;
+  options.duration_ =
+    std::min(options.duration_, parts_.board_.bounds_.Read()->bounds_.maxHold_);
+  co_return co_await MemoryReservation::Acquire(std::move(parts),
+                                                request_.facts_.attemptId_ +
+                                                  "-" + std::to_string(sends_),
+                                                aPlacement.helpers_,
+                                                aPlacement.reservedTokens_,
+                                                options);
 }
 
 asio::awaitable<Outcome<void>> RequestRun::Attempt(FleetPlacement aPlacement)
 {
   const FleetQuery query = MakeQuery();
   Fleet::Use use(parts_.fleet_, query, std::move(aPlacement));
-  TellPlaced(use.Placement());
-  const TimePoint began = TimerService::Now();
-  auto holds = co_await TakeMemory(use.Placement());
-  if (!holds) {
-    // Bounds the tries; nothing was sent.
-    unreachable_ += TimerService::Now() - began;
-    co_return holds.error();
+  AnnouncePlacement(use.Placement());
+  const TimePoint startTime = TimerService::Now();
+  auto reservation = co_await ReserveMemory(use.Placement());
+  if (!reservation) {
+    // Nothing was sent. The elapsed time is bounded, which bounds the
+    // number of attempts.
+    timeOnUnsentAttempts_ += TimerService::Now() - startTime;
+    co_return reservation.error();
   }
-  HttpRequest send = MakeSend(use.Placement(), holds.value().get());
+  HttpRequest send =
+    MakeEndpointRequest(use.Placement(), reservation.value().get());
   const ListedEndpoint& endpoint = use.Placement().endpoint_;
   HttpClient::CallOptions options;
   options.connectTimeout_ = kConnectTimeout;
   if (!request_.route_->IsRepeatable()) {
-    options.maxIdle_ = kUnsafeMaxIdle;
+    options.maxIdle_ = kNonRepeatableMaxIdle;
   }
   auto sent = co_await parts_.client_.Send(
     endpoint.address_, std::move(send), request_.deadline_, options);
-  const bool gaveBytes = sent || sent.error().ran_ != RanState::kNo;
-  sends_ += gaveBytes ? 1 : 0;
-  if (!gaveBytes) {
-    unreachable_ += TimerService::Now() - began;
+  const bool sentBytes = sent || sent.error().ran_ != RanState::kNo;
+  sends_ += sentBytes ? 1 : 0;
+  if (!sentBytes) {
+    timeOnUnsentAttempts_ += TimerService::Now() - startTime;
   }
-  repeatPaid_ = repeatPaid_ && !gaveBytes;
+  retryBudgeted_ = retryBudgeted_ && !sentBytes;
   if (!sent) {
     use.End(OutcomeOf(sent.error()));
     co_return sent.error();
@@ -261,12 +270,12 @@
     const bool streams = request_.route_->kind_ == RouteKind::kStreaming &&
                          call.Head().status_ == 200;
     if (streams) {
-      done = co_await PassStream(call, use);
-    } else if (!streaming_) {
-      done = co_await PassWhole(call, use);
+      done = co_await ForwardStream(call, use);
+    } else if (!streamStarted_) {
+      done = co_await ForwardBuffered(call, use);
     } else {
-      done = Broken("status " + std::to_string(call.Head().status_) +
-                    " for the rest of a stream");
+      done = MakeBrokenError("status " + std::to_string(call.Head().status_) +
+                             " for the rest of a stream");
     }
   }
   use.End(done ? EndpointOutcome::kServed : OutcomeOf(done.error()));
@@ -274,87 +283,92 @@
   co_return done;
 }
 
-// Peers would place theirs on the same idle engines until they hear of it.
-void RequestRun::TellPlaced(const FleetPlacement& aPlacement) const
+// Announces a placement to the peers, which would otherwise place their
+// requests on the same idle engines.
+void RequestRun::AnnouncePlacement(const FleetPlacement& aPlacement) const
 {
   std::vector<ListedEndpoint> endpoints = aPlacement.helpers_;
   endpoints.push_back(aPlacement.endpoint_);
-  parts_.words_.OnPlaced(endpoints, aPlacement.cost_.prefill_ > kToldRead);
+  parts_.words_.OnPlaced(endpoints,
+                         aPlacement.cost_.prefill_ > kMinAnnouncedPrefill);
 }
 
-// Notes an endpoint that broke off after it had got the request. A silent one
-// is only slow or cut off, so it counts for nothing here.
-void RequestRun::NoteBroken(const ListedEndpoint& aEndpoint,
-                            const Error& aError)
+// Reports an endpoint whose response broke off or was invalid to the detection
+// of poison requests. A silent endpoint isn't reported, because it is only slow
+// or unreachable.
+void RequestRun::RecordLostConnection(const ListedEndpoint& aEndpoint,
+                                      const Error& aError)
 {
   if (aError.code_ == ResultCode::kEndpointBroken) {
     parts_.suspects_.OnConnectionLost(request_.fingerprint_, aEndpoint);
   }
 }
 
-bool RequestRun::MayRepeat(const Error& aError)
+bool RequestRun::MayRetry(const Error& aError)
 {
   if (aError.code_ == ResultCode::kCallerLeft ||
       aError.code_ == ResultCode::kDeadlineExceeded) {
     return false;
   }
-  const bool untaken = aError.ran_ == RanState::kNo;
-  if (!untaken && !request_.route_->IsRepeatable()) {
+  const bool notReceived = aError.ran_ == RanState::kNo;
+  if (!notReceived && !request_.route_->IsRepeatable()) {
     return false;
   }
-  const bool deadEnd = aError.code_ == ResultCode::kEndpointUnreachable &&
-                       !parts_.fleet_.HasOther(request_.service_, tried_);
-  if (sends_ >= request_.route_->maxAttempts_ || deadEnd ||
-      unreachable_ > kMostUnreachable) {
+  const bool noneLeft = aError.code_ == ResultCode::kEndpointUnreachable &&
+                        !parts_.fleet_.HasOther(request_.service_, tried_);
+  if (sends_ >= request_.route_->maxAttempts_ || noneLeft ||
+      timeOnUnsentAttempts_ > kMaxTimeOnUnsentAttempts) {
     return false;
   }
-  return sends_ == 0 || repeatPaid_ || PayRepeat();
+  return sends_ == 0 || retryBudgeted_ || TryConsumeRetryBudget();
 }
 
-// The refusal of an endpoint becomes that of this host, and an endpoint that is
-// full or gone says nothing of the time at which another one has room. Without
-// it callers come back at once and are refused for good.
-void RequestRun::SayWhenToReturn(Error aError)
+// Adds a retry delay to the error of a request that has not run, if it has
+// none. An endpoint that is full or gone can't tell when another endpoint will
+// have capacity. Without a delay, callers would retry at once and be rejected
+// for good.
+void RequestRun::EnsureRetryDelay(Error aError)
 {
   if (aError.ran_ == RanState::kNo && !aError.retryAfter_) {
-    aError.retryAfter_ = RetrySoon();
+    aError.retryAfter_ = RandomRetryDelay();
     attempts_.OnFailed(aError);
   }
 }
 
-// Says whether a request at work may be given to another endpoint.
-bool RequestRun::MayLeave() const
+// Returns whether a request that was already sent may be retried at another
+// endpoint.
+bool RequestRun::MayRetryElsewhere() const
 {
   return request_.route_->IsRepeatable() &&
          sends_ < request_.route_->maxAttempts_;
 }
 
-bool RequestRun::PayRepeat()
+bool RequestRun::TryConsumeRetryBudget()
 {
   const std::lock_guard lock(parts_.repeats_.mutex_);
-  repeatPaid_ = parts_.repeats_.budget_.TryRetry(
+  retryBudgeted_ = parts_.repeats_.budget_.TryRetry(
     request_.service_, parts_.repeats_.hosts_, TimerService::Now());
-  return repeatPaid_;
+  return retryBudgeted_;
 }
 
-void RequestRun::NoteAnswer(int aStatus)
+void RequestRun::RecordResponseStart(int aStatus)
 {
   status_ = aStatus;
-  firstAnswer_ =
+  timeToFirstByte_ =
     duration_cast<microseconds>(TimerService::Now() - request_.arrived_);
 }
 
-void RequestRun::NotePiece()
+void RequestRun::RecordStreamChunk()
 {
   const TimePoint now = TimerService::Now();
-  if (lastPiece_ != TimePoint{}) {
+  if (lastChunk_ != TimePoint{}) {
     longestGap_ =
-      std::max(longestGap_, duration_cast<microseconds>(now - lastPiece_));
+      std::max(longestGap_, duration_cast<microseconds>(now - lastChunk_));
   }
-  lastPiece_ = now;
+  lastChunk_ = now;
 }
 
-void RequestRun::LogPlaced(const FleetPlacement& aPlacement) const
+void RequestRun::LogPlacement(const FleetPlacement& aPlacement) const
 {
   const auto proof = parts_.routes_.ProofAge();
   Log(
@@ -385,8 +399,8 @@
       { "send", sends_ + 1 } });
 }
 
-void RequestRun::LogFailed(const FleetPlacement& aPlacement,
-                           const Error& aError) const
+void RequestRun::LogFailedAttempt(const FleetPlacement& aPlacement,
+                                  const Error& aError) const
 {
   Log(LogEvent::kAttemptFailed,
       { { "request_id", request_.facts_.attemptId_ },
--- a/src/gateway/gooseberrylift-request-waiting.cc
+++ b/src/gateway/gooseberrylift-request-waiting.cc
@@ -1,5 +1,5 @@
-// How long a request run keeps a request before it sends it, and how it refuses
-// one that it does not send.
+// The part of RequestRun that delays requests before they are sent, and rejects
+// those that can't be answered in time.
 
 #include "gooseberrylift/internal/gooseberrylift-request-run.h"
 
@@ -19,14 +19,14 @@
 
 namespace {
 
-// Of what its caller bears, how long a prompt waits for memory: a refusal after
-// that still leaves the caller most of its time.
-constexpr double kRoomShare = 0.25;
+// Maximum time that a prompt waits for memory, as a share of the caller's stall
+// timeout. A rejection after that leaves the caller most of its time.
+constexpr double kMaxMemoryWaitShare = 0.25;
 
-// For so long a request waits for the answer to a question for permits, looking
-// at it in steps.
-constexpr milliseconds kPermitAnswer{ 100 };
-constexpr milliseconds kPermitStep{ 10 };
+// How long a request waits for the response to a permit request, and how often
+// it checks for it.
+constexpr milliseconds kMaxPermitWait{ 100 };
+constexpr milliseconds kPermitPollInterval{ 10 };
 
 } // namespace
 
@@ -43,65 +43,68 @@
            .objective_ = request_.route_->objective_ };
 }
 
-// Says whether a long prompt is kept here before its engines are looked at
-// again.
-HoldDecision RequestRun::JudgeHold(const FleetPlacement& aPlacement) const
+// Decides whether a long prompt is sent, held until the engines' load is
+// checked again, or rejected.
+HoldDecision RequestRun::DecideHold(const FleetPlacement& aPlacement) const
 {
-  const EngineProfile* figures = Figures();
+  const EngineProfile* figures = FindEngineProfile();
   if (!aPlacement.long_ || sends_ > 0 || figures == nullptr) {
     return HoldDecision::kSend;
   }
-  HoldInput question = MakeHoldInput(*figures, aPlacement.wait_);
-  question.peerLoadUnknown_ = aPlacement.peerLoadUnknown_;
-  question.partialPrefill_ = aPlacement.cost_.prefill_;
-  return DecideLongPromptHold(question, HoldOptions{});
+  HoldInput input = MakeHoldInput(*figures, aPlacement.wait_);
+  input.peerLoadUnknown_ = aPlacement.peerLoadUnknown_;
+  input.partialPrefill_ = aPlacement.cost_.prefill_;
+  return DecideLongPromptHold(input, HoldOptions{});
 }
 
-// The same for a prompt for which no engines have room now. Memory is freed by
-// every request that ends, so a fleet that could hold the prompt at all is
-// worth a while; one that could not is no better later.
-std::optional<milliseconds> RequestRun::WaitForRoom()
+// Returns how long to wait before placing a prompt again that currently doesn't
+// fit into the memory of the engines; nothing if it shouldn't wait. Memory is
+// freed whenever a request ends, so waiting is useful only if the total memory
+// of the service's engines can hold the prompt.
+std::optional<milliseconds> RequestRun::DelayForMemory()
 {
-  const EngineProfile* figures = Figures();
+  const EngineProfile* figures = FindEngineProfile();
   if (sends_ > 0 || figures == nullptr) {
     return std::nullopt;
   }
   const std::uint64_t needed =
     request_.facts_.promptTokens_ + request_.facts_.answerTokens_;
-  const std::uint64_t whole =
+  const std::uint64_t capacity =
     parts_.fleet_.CountUsable(request_.service_) * figures->memoryTokens_;
-  if (needed > whole) {
+  if (needed > capacity) {
     return std::nullopt;
   }
-  const HoldOptions options{ .maxHoldShare_ = kRoomShare };
-  const HoldDecision verdict =
+  const HoldOptions options{ .maxHoldShare_ = kMaxMemoryWaitShare };
+  const HoldDecision decision =
     DecideLongPromptHold(MakeHoldInput(*figures, microseconds::max()), options);
-  return verdict == HoldDecision::kHold
+  return decision == HoldDecision::kHold
            ? std::optional(options.recheckInterval_)
            : std::nullopt;
 }
 
-// Says how long to wait for the answer of the host that grants permits, where
-// all endpoints need one. It is there within a round trip, or not at all.
-std::optional<milliseconds> RequestRun::WaitForPermit()
+// Returns how long to wait before placing a request again if all endpoints need
+// a permit and one has been requested; nothing if it shouldn't wait. The
+// granting host responds within a round trip or not at all.
+std::optional<milliseconds> RequestRun::DelayForPermit()
 {
-  const auto opens = parts_.fleet_.TimeUntilPermit(request_.service_);
+  const auto untilPermit = parts_.fleet_.TimeUntilPermit(request_.service_);
   const auto waited = TimerService::Now() - request_.arrived_;
-  if (!opens || *opens > milliseconds(0) || waited > kPermitAnswer) {
+  if (!untilPermit || *untilPermit > milliseconds(0) ||
+      waited > kMaxPermitWait) {
     return std::nullopt;
   }
-  return kPermitStep;
+  return kPermitPollInterval;
 }
 
-// Makes the refusal of a request for which there is no endpoint now.
-Error RequestRun::NoEndpoint()
+// Returns the error for a request that currently has no endpoint.
+Error RequestRun::MakeNoEndpointError()
 {
-  const auto opens = parts_.fleet_.TimeUntilPermit(request_.service_);
-  Error none =
-    MakeError(opens ? ResultCode::kEndpointsLimited : ResultCode::kNoEndpoint);
-  none.retryAfter_ = RetrySoon();
-  if (opens) {
-    none.retryAfter_ = std::min(*none.retryAfter_ + std::max(*opens, {}),
+  const auto untilPermit = parts_.fleet_.TimeUntilPermit(request_.service_);
+  Error none = MakeError(untilPermit ? ResultCode::kEndpointsLimited
+                                     : ResultCode::kNoEndpoint);
+  none.retryAfter_ = RandomRetryDelay();
+  if (untilPermit) {
+    none.retryAfter_ = std::min(*none.retryAfter_ + std::max(*untilPermit, {}),
                                 MaxRetryDelay(RemainingTime()));
   }
   return none;
@@ -110,21 +113,21 @@
 std::optional<Error> RequestRun::Admit(const FleetPlacement& aPlacement) const
 {
   if (sends_ > 0) {
-    return std::nullopt; // its first try was admitted
+    return std::nullopt; // its first attempt was admitted
   }
   const TimePoint now = TimerService::Now();
-  const AdmissionInput question{
+  const AdmissionInput input{
     .predicted_ = aPlacement.firstAnswer_,
     .remaining_ = RemainingTime(),
     .callerStallTimeout_ = CallerStallTimeout(*request_.route_),
     .held_ = duration_cast<milliseconds>(now - request_.arrived_),
-    .draw_ = Draw()
+    .draw_ = RandomNumber()
   };
-  const auto wait = RetryDelayIfRefused(question);
+  const auto wait = RetryDelayIfRefused(input);
   if (!wait) {
     return std::nullopt;
   }
-  return Refusal(aPlacement, *wait);
+  return MakeRefusal(aPlacement, *wait);
 }
 
 milliseconds RequestRun::RemainingTime() const
@@ -132,9 +135,10 @@
   return duration_cast<milliseconds>(request_.deadline_ - TimerService::Now());
 }
 
-// Makes the refusal of a request that could not come in time where it would go.
-Error RequestRun::Refusal(const FleetPlacement& aPlacement,
-                          milliseconds aReturn) const
+// Logs and returns the rejection of a request that the chosen endpoint could
+// not answer in time.
+Error RequestRun::MakeRefusal(const FleetPlacement& aPlacement,
+                              milliseconds aRetryAfter) const
 {
   const TimePoint now = TimerService::Now();
   Log(LogEvent::kRequestRefused,
@@ -149,9 +153,9 @@
           duration_cast<milliseconds>(now - request_.arrived_).count() },
         { "candidates", aPlacement.candidates_ },
         { "running", aPlacement.load_.running_ },
-        { "retry_after_ms", aReturn.count() } });
+        { "retry_after_ms", aRetryAfter.count() } });
   Error refusal = MakeError(ResultCode::kDeadlineUnreachable);
-  refusal.retryAfter_ = aReturn;
+  refusal.retryAfter_ = aRetryAfter;
   return refusal;
 }
 
--- a/src/gateway/gooseberrylift-suspect-watch.cc
+++ b/src/gateway/gooseberrylift-suspect-watch.cc
@@ -12,13 +12,14 @@
 
 namespace {
 
-// A process that crashes loses its connections and its port in the same moment;
-// the wait is for an endpoint whose port closes a little later.
-constexpr milliseconds kLookAfter{ 100 };
+// A crashing process usually loses its connections and its listening port at
+// the same time. The delay allows for endpoints whose port closes slightly
+// later.
+constexpr milliseconds kCheckDelay{ 100 };
 
-// A refusal comes within one round trip of a region. A machine that is dark
-// gives none, and proves nothing.
-constexpr milliseconds kLookTimeout{ 250 };
+// A refused connection is reported within one round trip in the region. An
+// unreachable machine doesn't respond, which proves nothing.
+constexpr milliseconds kCheckTimeout{ 250 };
 
 } // namespace
 
@@ -31,29 +32,29 @@
                                     const ListedEndpoint& aEndpoint)
 {
   bool quarantined = false;
-  bool look = false;
+  bool startCheck = false;
   {
     const std::lock_guard lock(mutex_);
-    quarantined = suspects_.OnConnectionLost(
+    quarantined = detector_.OnConnectionLost(
       aFingerprint, aEndpoint.id_, system_clock::now());
-    look = looking_.insert(aEndpoint.id_).second;
+    startCheck = beingChecked_.insert(aEndpoint.id_).second;
   }
   if (quarantined) {
-    Announce({ aFingerprint }, aEndpoint.id_);
+    ReportQuarantined({ aFingerprint }, aEndpoint.id_);
   }
-  if (look) {
-    SpawnTask(parts_.executor_, Look(aEndpoint));
+  if (startCheck) {
+    SpawnTask(parts_.executor_, CheckForExit(aEndpoint));
   }
 }
 
-asio::awaitable<void> SuspectWatch::Look(ListedEndpoint aEndpoint)
+asio::awaitable<void> SuspectWatch::CheckForExit(ListedEndpoint aEndpoint)
 {
-  co_await TimerService::SleepFor(kLookAfter);
+  co_await TimerService::SleepFor(kCheckDelay);
   const bool refused =
-    co_await parts_.client_.IsRefused(aEndpoint.address_, kLookTimeout);
+    co_await parts_.client_.IsRefused(aEndpoint.address_, kCheckTimeout);
   {
     const std::lock_guard lock(mutex_);
-    looking_.erase(aEndpoint.id_);
+    beingChecked_.erase(aEndpoint.id_);
   }
   if (refused) {
     OnEndpointExit(aEndpoint.id_);
@@ -65,39 +66,40 @@
   std::vector<std::string> quarantined;
   {
     const std::lock_guard lock(mutex_);
-    quarantined = suspects_.OnEndpointExit(aEndpoint, system_clock::now());
+    quarantined = detector_.OnEndpointExit(aEndpoint, system_clock::now());
   }
-  Announce(quarantined, aEndpoint);
+  ReportQuarantined(quarantined, aEndpoint);
 }
 
-void SuspectWatch::Announce(const std::vector<std::string>& aFingerprints,
-                            const std::string& aEndpoint)
+void SuspectWatch::ReportQuarantined(
+  const std::vector<std::string>& aFingerprints,
+  const std::string& aEndpoint)
 {
   for (const std::string& fingerprint : aFingerprints) {
     Log(LogEvent::kRequestSuspected,
         { { "fingerprint", fingerprint }, { "endpoint", aEndpoint } });
   }
   if (!aFingerprints.empty()) {
-    parts_.tell_(); // the next host that gets one must know
+    parts_.tell_(); // the caller may retry at any host
   }
 }
 
 bool SuspectWatch::IsQuarantined(const std::string& aFingerprint)
 {
   const std::lock_guard lock(mutex_);
-  return suspects_.IsQuarantined(aFingerprint, system_clock::now());
+  return detector_.IsQuarantined(aFingerprint, system_clock::now());
 }
 
 void SuspectWatch::OnPeer(const std::vector<QuarantineEntry>& aEntries)
 {
   const std::lock_guard lock(mutex_);
-  suspects_.OnPeer(aEntries);
+  detector_.OnPeer(aEntries);
 }
 
 std::vector<QuarantineEntry> SuspectWatch::Entries()
 {
   const std::lock_guard lock(mutex_);
-  return suspects_.Entries(system_clock::now());
+  return detector_.Entries(system_clock::now());
 }
 
 } // namespace gooseberrylift
