--- a/src/gateway/gooseberrylift-fleet.cc
+++ b/src/gateway/gooseberrylift-fleet.cc
@@ -14,14 +14,15 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// The usual time of a plain service is learnt; each answer moves it by this
-// part, so that ten answers replace it.
-constexpr double kLearn = 0.1;
-constexpr microseconds kFirstGuess{ 20'000 }; // until the first answer came
+// Weight of a new answer in the exponential moving average of a plain service's
+// response time. The average adapts within about ten answers.
+constexpr double kDurationSmoothing = 0.1;
+// Assumed until the first answer arrives.
+constexpr microseconds kInitialDuration{ 20'000 };
 
-// An endpoint that has sent nothing for so long to any of this host's requests
-// there is passed over: no engine's pass is longer, so it hangs or is dead.
-constexpr milliseconds kSilent{ 1'000 };
+// An endpoint that has sent no data to any of this host's requests for longer
+// is avoided: no engine pass takes that long, so it is hung or dead.
+constexpr milliseconds kMaxSilence{ 1'000 };
 
 } // namespace
 
@@ -29,13 +30,13 @@
 {
   std::mutex mutex_;
   FleetLoad load_{ FleetLoad::Options{} };
-  OutlierDetector trust_{ OutlierDetector::Options{} };
-  microseconds usual_ = kFirstGuess;
+  OutlierDetector outlierDetector_{ OutlierDetector::Options{} };
+  microseconds typicalDuration_ = kInitialDuration;
 };
 
 Fleet::Fleet(Options aOptions)
   : options_(std::move(aOptions))
-  , view_(PeerVisibility::Options{}, TimerService::Now())
+  , peerVisibility_(PeerVisibility::Options{}, TimerService::Now())
   , directory_(EndpointDirectory::Options{})
 {
 }
@@ -54,38 +55,38 @@
 
 void Fleet::OnListed(const ListedEndpoint& aListed)
 {
-  bool reborn = false;
+  bool restarted = false;
   {
     const std::lock_guard lock(directoryMutex_);
-    reborn = directory_.OnListed(aListed);
+    restarted = directory_.OnListed(aListed);
   }
-  if (reborn) {
-    ForgetFormerLife(aListed);
+  if (restarted) {
+    ResetRestartedEndpoint(aListed);
   }
 }
 
-// The endpoint started again under its id. With the load, the silence and the
-// failures of its former life still counted it would be passed over while it
-// stands idle.
-void Fleet::ForgetFormerLife(const ListedEndpoint& aReborn)
+// Discards the load, silence and failures of an endpoint's previous
+// incarnation. Otherwise the restarted endpoint would be avoided although it is
+// idle.
+void Fleet::ResetRestartedEndpoint(const ListedEndpoint& aRestarted)
 {
   Log(LogEvent::kEndpointReborn,
-      { { "endpoint", aReborn.id_ },
-        { "born_ms", aReborn.startTime_.time_since_epoch().count() } });
-  if (options_.onReborn_) {
-    options_.onReborn_(aReborn.id_);
+      { { "endpoint", aRestarted.id_ },
+        { "born_ms", aRestarted.startTime_.time_since_epoch().count() } });
+  if (options_.onRestarted_) {
+    options_.onRestarted_(aRestarted.id_);
   }
-  Shard& shard = ShardOf(aReborn.service_);
+  Shard& shard = ShardOf(aRestarted.service_);
   const std::lock_guard lock(shard.mutex_);
-  shard.load_.OnRestarted(aReborn.id_);
-  shard.trust_.OnRestarted(aReborn.id_);
+  shard.load_.OnRestarted(aRestarted.id_);
+  shard.outlierDetector_.OnRestarted(aRestarted.id_);
 }
 
-// What peers have in work counts from the first word on. Kept only from this
-// host's own first request to a service on, each host of a large fleet took the
-// same idle engines with it, and the first short requests of all hosts were
-// late.
-void Fleet::MakeShards(const SharesByService& aShares)
+// Creates the shards of services that a load message mentions, so that peer
+// load is counted before this host's own first request to a service. Without
+// that, all hosts of a large fleet sent their first requests to the same idle
+// engines, and the first short requests of all hosts were late.
+void Fleet::EnsureShards(const SharesByService& aShares)
 {
   for (const auto& [service, shares] : aShares) {
     ShardOf(service);
@@ -101,21 +102,22 @@
   return usable;
 }
 
-// The order of engines changes only with the directory. A prompt that is held
-// asks for it 25 times a second, and sorting hundreds of engines each time
-// would take a small host's processor from its callers.
-Fleet::Endpoints Fleet::Ordered(const FleetQuery& aQuery)
+// Caches the order of engines, which changes only with the directory. A held
+// prompt is placed again 25 times a second, and sorting hundreds of engines
+// each time would use too much CPU on a small host.
+Fleet::Endpoints Fleet::OrderedEndpoints(const FleetQuery& aQuery)
 {
   const std::lock_guard lock(directoryMutex_);
   directory_.Sweep(TimerService::Now());
   if (!aQuery.figures_) {
-    // Hosts with equal views would all take the first.
+    // Without shuffling, hosts with the same view would all choose the first
+    // endpoint.
     return std::make_shared<std::vector<ListedEndpoint>>(
       ShuffleEndpoints(Usable(aQuery.service_), aQuery.draw_));
   }
-  Order& order = orders_[aQuery.service_];
-  if (!order.endpoints_ || order.changes_ != directory_.Changes()) {
-    order.changes_ = directory_.Changes();
+  EndpointOrder& order = endpointOrders_[aQuery.service_];
+  if (!order.endpoints_ || order.directoryChanges_ != directory_.Changes()) {
+    order.directoryChanges_ = directory_.Changes();
     order.endpoints_ = std::make_shared<std::vector<ListedEndpoint>>(
       OrderForHost(Usable(aQuery.service_), options_.host_, {}));
   }
@@ -126,7 +128,7 @@
 {
   aQuery.request_.peerLoadUnknown_ = IsPeerLoadUnknown();
   aQuery.request_.draw_ = aQuery.draw_;
-  const Endpoints ordered = Ordered(aQuery);
+  const Endpoints ordered = OrderedEndpoints(aQuery);
   const std::vector<ListedEndpoint>& endpoints = *ordered;
   const LimitedEndpoints limited = options_.limiter_.Judge(endpoints);
   const TimePoint now = TimerService::Now();
@@ -139,12 +141,13 @@
     if (limited.withheld_.contains(id)) {
       continue;
     }
-    candidates.push_back({ .endpoint_ = &endpoint,
-                           .load_ = shard.load_.Of(id, now),
-                           .avoided_ = shard.trust_.IsEjected(id, now) ||
-                                       shard.load_.SilentFor(id, now) > kSilent,
-                           .tried_ = aQuery.tried_.contains(id),
-                           .limited_ = limited.permitted_.contains(id) });
+    candidates.push_back(
+      { .endpoint_ = &endpoint,
+        .load_ = shard.load_.Of(id, now),
+        .avoided_ = shard.outlierDetector_.IsEjected(id, now) ||
+                    shard.load_.SilentFor(id, now) > kMaxSilence,
+        .tried_ = aQuery.tried_.contains(id),
+        .limited_ = limited.permitted_.contains(id) });
   }
   std::optional<PlacementChoice> choice;
   if (aQuery.figures_) {
@@ -152,8 +155,8 @@
     choice = placement.Choose(
       *aQuery.figures_, aQuery.gaps_, candidates, aQuery.request_);
   } else {
-    choice =
-      ServicePlacement().Choose(shard.usual_, candidates, aQuery.request_);
+    choice = ServicePlacement().Choose(
+      shard.typicalDuration_, candidates, aQuery.request_);
   }
   if (!choice) {
     return std::nullopt;
@@ -178,7 +181,7 @@
 
 bool Fleet::Claim(const FleetPlacement& aPlacement)
 {
-  // Helpers are never limited ones.
+  // Endpoints with a rate limit are never chosen as helpers.
   return options_.limiter_.Take(aPlacement.endpoint_.IncarnationId());
 }
 
@@ -202,19 +205,19 @@
 bool Fleet::IsPeerLoadUnknown()
 {
   const std::lock_guard lock(peersMutex_);
-  return view_.IsPeerLoadUnknown(TimerService::Now());
+  return peerVisibility_.IsPeerLoadUnknown(TimerService::Now());
 }
 
-void Fleet::OnPeersHeard()
+void Fleet::OnPeerContact()
 {
   const std::lock_guard lock(peersMutex_);
-  view_.OnLoadMessage(TimerService::Now());
+  peerVisibility_.OnLoadMessage(TimerService::Now());
 }
 
 void Fleet::OnPeersKnown(std::size_t aPeers)
 {
   const std::lock_guard lock(peersMutex_);
-  view_.OnPeersKnown(aPeers);
+  peerVisibility_.OnPeersKnown(aPeers);
 }
 
 bool Fleet::IsListed(const Incarnation& aEndpoint)
@@ -241,42 +244,45 @@
     });
 }
 
-void Fleet::OnLoadMessage(const LoadMessage& aWord)
+void Fleet::OnLoadMessage(const LoadMessage& aMessage)
 {
   const TimePoint now = TimerService::Now();
   {
     const std::lock_guard lock(peersMutex_);
-    // Words of a zone overtake each other apart from their host's own.
-    PeerWords& known = peerWords_[aWord.zone_ + "/" + aWord.host_];
-    const bool takes = aWord.kind_ == LoadMessageKind::kSnapshotContinued
-                         ? aWord.sequence_ == known.whole_
-                         : aWord.sequence_ > known.word_;
-    if (!takes) {
-      return; // datagrams may overtake each other
+    // A host's messages about its zone have a sequence separate from those
+    // about itself.
+    LastPeerMessages& last =
+      lastPeerMessages_[aMessage.zone_ + "/" + aMessage.host_];
+    const bool inOrder = aMessage.kind_ == LoadMessageKind::kSnapshotContinued
+                           ? aMessage.sequence_ == last.snapshotSequence_
+                           : aMessage.sequence_ > last.latestSequence_;
+    if (!inOrder) {
+      return; // datagrams may arrive out of order
     }
-    known.word_ = std::max(known.word_, aWord.sequence_);
-    if (aWord.kind_ == LoadMessageKind::kSnapshot) {
-      known.whole_ = aWord.sequence_;
+    last.latestSequence_ = std::max(last.latestSequence_, aMessage.sequence_);
+    if (aMessage.kind_ == LoadMessageKind::kSnapshot) {
+      last.snapshotSequence_ = aMessage.sequence_;
     }
-    view_.OnLoadMessage(now);
-    if (!aWord.zone_.empty() && (aWord.zone_ == options_.zone_ ||
-                                 !zoneMessageFilter_.Accepts(aWord, now))) {
+    peerVisibility_.OnLoadMessage(now);
+    if (!aMessage.zone_.empty() &&
+        (aMessage.zone_ == options_.zone_ ||
+         !zoneMessageFilter_.Accepts(aMessage, now))) {
       return;
     }
   }
   const std::string peer =
-    aWord.zone_.empty() ? aWord.host_ : PeerNameOfZone(aWord.zone_);
-  auto byService = ByService(aWord.shares_);
-  MakeShards(byService);
+    aMessage.zone_.empty() ? aMessage.host_ : PeerNameOfZone(aMessage.zone_);
+  auto byService = GroupByService(aMessage.shares_);
+  EnsureShards(byService);
   const std::lock_guard lock(shardsMutex_);
   for (const auto& [service, shard] : shards_) {
     const std::lock_guard shardLock(shard->mutex_);
     FleetLoad& load = shard->load_;
     std::vector<EndpointShare>& shares = byService[service];
-    switch (aWord.kind_) {
+    switch (aMessage.kind_) {
       case LoadMessageKind::kSnapshot:
-        // Also of a service of which the peer said nothing: it has no work
-        // there any more.
+        // Also for services that the snapshot does not mention: the peer has no
+        // requests in flight there any more.
         load.OnPeerSnapshot(peer, std::move(shares), now);
         break;
       case LoadMessageKind::kSnapshotContinued:
@@ -289,7 +295,8 @@
   }
 }
 
-std::vector<EndpointShare> Fleet::SumOf(const std::set<std::string>& aHosts)
+std::vector<EndpointShare> Fleet::SumSharesOf(
+  const std::set<std::string>& aHosts)
 {
   const TimePoint now = TimerService::Now();
   const auto counts = [&aHosts](const std::string& aHost) {
@@ -306,7 +313,7 @@
   return all;
 }
 
-Fleet::SharesByService Fleet::ByService(
+Fleet::SharesByService Fleet::GroupByService(
   const std::vector<EndpointShare>& aShares)
 {
   SharesByService byService;
@@ -353,7 +360,7 @@
   const std::lock_guard lock(shardsMutex_);
   for (const auto& [service, shard] : shards_) {
     const std::lock_guard shardLock(shard->mutex_);
-    shard->trust_.Sweep(now);
+    shard->outlierDetector_.Sweep(now);
   }
 }
 
@@ -364,14 +371,14 @@
   , id_(aQuery.id_)
   , service_(aQuery.service_)
   , placement_(std::move(aPlacement))
-  , sent_(TimerService::Now())
-  , heard_(sent_)
+  , sentAt_(TimerService::Now())
+  , lastDataAt_(sentAt_)
 {
   Shard& shard = fleet_.ShardOf(service_);
   const std::lock_guard lock(shard.mutex_);
-  shard.load_.OnSent(placement_.endpoint_.id_, id_, placement_.cost_, sent_);
+  shard.load_.OnSent(placement_.endpoint_.id_, id_, placement_.cost_, sentAt_);
   for (const ListedEndpoint& helper : placement_.helpers_) {
-    shard.load_.OnSent(helper.id_, id_, placement_.helperCost_, sent_);
+    shard.load_.OnSent(helper.id_, id_, placement_.helperCost_, sentAt_);
   }
 }
 
@@ -384,7 +391,7 @@
 {
   const TimePoint now = TimerService::Now();
   begun_ = begun_ || aFirst;
-  heard_ = now;
+  lastDataAt_ = now;
   Shard& shard = fleet_.ShardOf(service_);
   const std::lock_guard lock(shard.mutex_);
   if (!aFirst) {
@@ -393,7 +400,8 @@
   }
   shard.load_.OnStarted(placement_.endpoint_.id_, id_, now);
   for (const ListedEndpoint& helper : placement_.helpers_) {
-    shard.load_.OnStarted(helper.id_, id_, now); // its part is read
+    // The helper's part of the prefill is done.
+    shard.load_.OnStarted(helper.id_, id_, now);
   }
 }
 
@@ -404,7 +412,7 @@
   const std::lock_guard lock(shard.mutex_);
   const std::string& endpoint = placement_.endpoint_.id_;
   const EndpointLoad load = shard.load_.Of(endpoint, now);
-  return { .requestSilence_ = duration_cast<milliseconds>(now - heard_),
+  return { .requestSilence_ = duration_cast<milliseconds>(now - lastDataAt_),
            .hostSilence_ = shard.load_.SilentFor(endpoint, now),
            .peerSilence_ = shard.load_.ShortestPeerSilence(endpoint, now),
            .begun_ = begun_,
@@ -420,13 +428,13 @@
   Shard& shard = fleet_.ShardOf(service_);
   {
     const std::lock_guard lock(shard.mutex_);
-    shard.trust_.OnOutcome(placement_.endpoint_.id_, aOutcome, now);
+    shard.outlierDetector_.OnOutcome(placement_.endpoint_.id_, aOutcome, now);
     if (aOutcome == EndpointOutcome::kServed) {
-      const double took =
-        static_cast<double>(duration_cast<microseconds>(now - sent_).count());
-      const auto before = static_cast<double>(shard.usual_.count());
-      shard.usual_ = microseconds(
-        static_cast<std::int64_t>(before + (took - before) * kLearn));
+      const double duration =
+        static_cast<double>(duration_cast<microseconds>(now - sentAt_).count());
+      const auto average = static_cast<double>(shard.typicalDuration_.count());
+      shard.typicalDuration_ = microseconds(static_cast<std::int64_t>(
+        average + (duration - average) * kDurationSmoothing));
     }
   }
   Release();
--- a/src/gateway/gooseberrylift-peer-keys.cc
+++ b/src/gateway/gooseberrylift-peer-keys.cc
@@ -17,16 +17,17 @@
 constexpr const char* kKey = "key";
 constexpr milliseconds kTimeout{ 1'000 };
 
-// Between two looks for a key that another host is about to write, and how many
-// of them: hosts of a fleet start within a third of a second of each other, and
-// a write takes some ms.
-constexpr milliseconds kLookPause{ 200 };
-constexpr int kLooks = 5;
+// How often, and how many times, a host reads a key that another host is about
+// to create. Hosts of a fleet start within a third of a second of each other,
+// and a write takes a few ms.
+constexpr milliseconds kReadAttemptInterval{ 200 };
+constexpr int kMaxReadAttempts = 5;
 
-// Between two tries while the store is away, doubled up to the most: a host
-// without the key serves all the same, it only knows nothing of the others.
-constexpr milliseconds kFirstPause{ 250 };
-constexpr milliseconds kMostPause{ 2'000 };
+// Limits of the delay between retries while the store is unavailable, which is
+// doubled each time. A host without the key still serves requests; it only
+// receives no state of other hosts.
+constexpr milliseconds kInitialRetryDelay{ 250 };
+constexpr milliseconds kMaxRetryDelay{ 2'000 };
 
 StoreObject NewKey()
 {
@@ -56,13 +57,14 @@
   return !aObject && aObject.error().code_ == ResultCode::kStoreNotFound;
 }
 
-// Another host may be faster; then the next reading shows its key.
-asio::awaitable<std::string> ReadOrWrite(ObjectStore& aStore)
+// Creates the key if it is missing. Returns an empty string on failure, also if
+// another host created the key first; the next read then finds it.
+asio::awaitable<std::string> ReadOrCreate(ObjectStore& aStore)
 {
-  const TimePoint limit = TimerService::Now() + kTimeout;
-  auto object = co_await aStore.Read(kKind, kName, limit);
+  const TimePoint deadline = TimerService::Now() + kTimeout;
+  auto object = co_await aStore.Read(kKind, kName, deadline);
   if (IsMissing(object)) {
-    object = co_await aStore.Create(NewKey(), limit);
+    object = co_await aStore.Create(NewKey(), deadline);
   }
   co_return KeyOf(object);
 }
@@ -72,25 +74,25 @@
 asio::awaitable<std::string> ObtainPeerKey(ObjectStore& aStore,
                                            bool aStartsFleet)
 {
-  int looks = aStartsFleet ? kLooks : 0;
-  milliseconds pause = kFirstPause;
+  int attempts = aStartsFleet ? kMaxReadAttempts : 0;
+  milliseconds retryDelay = kInitialRetryDelay;
   while (true) {
-    const TimePoint limit = TimerService::Now() + kTimeout;
-    const auto object = co_await aStore.ReadAnyAge(kKind, kName, limit);
+    const TimePoint deadline = TimerService::Now() + kTimeout;
+    const auto object = co_await aStore.ReadAnyAge(kKind, kName, deadline);
     std::string key = KeyOf(object);
-    if (key.empty() && IsMissing(object) && looks < kLooks) {
-      ++looks;
-      co_await TimerService::SleepFor(kLookPause);
+    if (key.empty() && IsMissing(object) && attempts < kMaxReadAttempts) {
+      ++attempts;
+      co_await TimerService::SleepFor(kReadAttemptInterval);
       continue;
     }
     if (key.empty() && IsMissing(object)) {
-      key = co_await ReadOrWrite(aStore);
+      key = co_await ReadOrCreate(aStore);
     }
     if (!key.empty()) {
       co_return key;
     }
-    co_await TimerService::SleepFor(pause);
-    pause = std::min(pause * 2, kMostPause);
+    co_await TimerService::SleepFor(retryDelay);
+    retryDelay = std::min(retryDelay * 2, kMaxRetryDelay);
   }
 }
 
--- a/src/gateway/gooseberrylift-route-follower.cc
+++ b/src/gateway/gooseberrylift-route-follower.cc
@@ -15,20 +15,20 @@
 {
   const StoreObject& object = aEvent.object_;
   if (aEvent.deleted_ || object.name_ != dialect_.Kinds().routesName_ ||
-      object.version_ == seenVersion_) {
-    return; // a proof that nothing changed costs no decoding
+      object.version_ == decodedVersion_) {
+    return; // unchanged documents are not decoded again
   }
   auto document = dialect_.ReadRoutes(object.spec_);
   if (!document) {
-    if (refusedVersion_ != object.version_) {
-      refusedVersion_ = object.version_;
+    if (rejectedVersion_ != object.version_) {
+      rejectedVersion_ = object.version_;
       Log(LogEvent::kConfigurationRejected,
           { { "store_version", object.version_ },
             { "fault", document.error().text_ } });
     }
     return;
   }
-  seenVersion_ = object.version_;
+  decodedVersion_ = object.version_;
   const RouteTable::Ptr current = board_.routes_.Read()->table_;
   const std::uint64_t version = document.value().version_;
   if (current && version <= current->Version()) {
@@ -47,10 +47,10 @@
   board_.routes_.Write({ .table_ = std::move(table) });
 }
 
-void RouteFollower::OnProof(BootTime aBegan)
+void RouteFollower::OnProof(BootTime aReadStart)
 {
   const std::lock_guard lock(leaseMutex_);
-  lease_.OnProof(aBegan);
+  lease_.OnProof(aReadStart);
 }
 
 bool RouteFollower::KeysAreProven()
@@ -63,8 +63,8 @@
   lease_.SetRevokeWithin(bounds->bounds_.revokeWithin_);
   const BootTime now = TimerService::BootNow();
   const bool proven = lease_.IsValid(now);
-  if (proven != proven_) {
-    proven_ = proven;
+  if (proven != loggedProven_) {
+    loggedProven_ = proven;
     const auto age = lease_.Age(now);
     Log(proven ? LogEvent::kKeysProven : LogEvent::kKeysUnproven,
         { { "proof_age_ms", age ? age->count() : -1 } });
@@ -84,16 +84,16 @@
 {
 }
 
-// An entry may come from another writer. It names no endpoint then, and is
-// logged once for each of its versions, however often it is read.
+// Returns nothing for an invalid entry, which may come from another writer.
+// Each version of an invalid entry is logged once, however often it is read.
 std::optional<ListedEndpoint> EndpointFollower::Read(const StoreObject& aObject)
 {
   auto listed = dialect_.ReadListed(aObject);
   if (listed) {
-    refused_.erase(aObject.name_);
+    rejectedVersions_.erase(aObject.name_);
     return std::move(listed.value());
   }
-  std::string& version = refused_[aObject.name_];
+  std::string& version = rejectedVersions_[aObject.name_];
   if (version.empty() || version != aObject.version_) {
     version = aObject.version_;
     Log(LogEvent::kEntryRefused,
@@ -109,10 +109,10 @@
   const std::string& id = aEvent.object_.name_;
   const auto listed = aEvent.deleted_ ? std::nullopt : Read(aEvent.object_);
   if (aEvent.deleted_) {
-    refused_.erase(id);
+    rejectedVersions_.erase(id);
   }
   if (!listed) {
-    // Also an entry that names no endpoint any more is gone, as in a list.
+    // An entry that became invalid is handled like a deleted one.
     Log(LogEvent::kEndpointState, { { "endpoint", id }, { "state", "gone" } });
     const TimePoint now = TimerService::Now();
     fleet_.WithDirectory(
--- a/src/gateway/gooseberrylift-store-follower.cc
+++ b/src/gateway/gooseberrylift-store-follower.cc
@@ -17,25 +17,25 @@
 
 namespace {
 
-// The fields of a question and its answer.
+// The fields of a fetch request and its answer.
 constexpr const char* kRoutes = "c";
 constexpr const char* kEndpoints = "e";
 constexpr const char* kEvacuations = "z";
 constexpr const char* kRevision = "r";
-constexpr const char* kChanges = "o";  // packed: [name, version, spec] each
+constexpr const char* kObjects = "o";  // packed: [name, version, spec] each
 constexpr const char* kRemoved = "d";  // names
-constexpr const char* kNames = "n";    // missing when kRemoved tells enough
-constexpr const char* kProofAge = "a"; // ms; missing without a proof
+constexpr const char* kNames = "n";    // absent if kRemoved is complete
+constexpr const char* kProofAge = "a"; // ms; absent without a proof
 
-// What is no document, for a packed text that can't be unpacked.
-constexpr const char* kNoText = "";
+// Not valid JSON, so that a text that can't be unpacked fails to parse.
+constexpr const char* kInvalidJson = "";
 
-// How long a host sleeps at most before it looks again whether to read: others
-// may have fallen silent meanwhile.
-constexpr milliseconds kLongestNap{ 200 };
-constexpr milliseconds kShortestNap{ 10 };
+// The limits of the sleep before a host checks again whether it must read: the
+// current readers may have stopped meanwhile.
+constexpr milliseconds kMaxSleep{ 200 };
+constexpr milliseconds kMinSleep{ 10 };
 // Shorter without a proof, since a request may expedite the read.
-constexpr milliseconds kLongestNapUnproven{ 20 };
+constexpr milliseconds kMaxSleepWithoutProof{ 20 };
 
 // The revision up to which a list of any age is known to be complete.
 std::uint64_t NewestRevision(const std::vector<CachedObject>& aObjects)
@@ -47,52 +47,52 @@
   return revision;
 }
 
-json ChangesToJson(const StoreDelta& aChanges)
+json DeltaToJson(const StoreDelta& aDelta)
 {
   json list = json::array();
-  for (const CachedObject& object : aChanges.objects_) {
+  for (const CachedObject& object : aDelta.objects_) {
     list.push_back({ object.name_, object.version_, object.spec_ });
   }
-  json answer = { { kRevision, aChanges.revision_ },
-                  { kChanges, PackText(list.dump()) },
-                  { kRemoved, aChanges.removed_ } };
-  if (aChanges.names_) {
-    answer[kNames] = *aChanges.names_;
+  json answer = { { kRevision, aDelta.revision_ },
+                  { kObjects, PackText(list.dump()) },
+                  { kRemoved, aDelta.removed_ } };
+  if (aDelta.names_) {
+    answer[kNames] = *aDelta.names_;
   }
   return answer;
 }
 
-// Throws a json::exception when the answer is of another form.
-StoreDelta ChangesFromJson(const json& aAnswer)
+// Throws a json::exception if the answer is malformed.
+StoreDelta DeltaFromJson(const json& aAnswer)
 {
-  StoreDelta changes;
-  changes.revision_ = aAnswer.at(kRevision);
-  const auto objects = UnpackText(aAnswer.at(kChanges));
-  for (const json& item : json::parse(objects.value_or(kNoText))) {
-    changes.objects_.push_back(
+  StoreDelta delta;
+  delta.revision_ = aAnswer.at(kRevision);
+  const auto objects = UnpackText(aAnswer.at(kObjects));
+  for (const json& item : json::parse(objects.value_or(kInvalidJson))) {
+    delta.objects_.push_back(
       { .name_ = item.at(0), .version_ = item.at(1), .spec_ = item.at(2) });
   }
   for (const json& name : aAnswer.at(kRemoved)) {
-    changes.removed_.push_back(name);
+    delta.removed_.push_back(name);
   }
   if (aAnswer.contains(kNames)) {
-    changes.names_ = aAnswer.at(kNames).get<std::vector<std::string>>();
+    delta.names_ = aAnswer.at(kNames).get<std::vector<std::string>>();
   }
-  return changes;
+  return delta;
 }
 
-// Takes the objects over: the route document of a large fleet is hundreds of
-// KB, and it is read each second.
-std::vector<CachedObject> ViewedOf(std::vector<StoreObject> aObjects)
+// Moves the objects instead of copying them: the route document of a large
+// fleet has hundreds of KB and is read every second.
+std::vector<CachedObject> ToCachedObjects(std::vector<StoreObject> aObjects)
 {
-  std::vector<CachedObject> viewed;
-  viewed.reserve(aObjects.size());
+  std::vector<CachedObject> cached;
+  cached.reserve(aObjects.size());
   for (StoreObject& object : aObjects) {
-    viewed.push_back({ .name_ = std::move(object.name_),
+    cached.push_back({ .name_ = std::move(object.name_),
                        .version_ = std::move(object.version_),
                        .spec_ = std::move(object.spec_) });
   }
-  return viewed;
+  return cached;
 }
 
 } // namespace
@@ -100,7 +100,7 @@
 StoreFollower::StoreFollower(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
-  , turn_(options_.turn_)
+  , readSchedule_(options_.readSchedule_)
 {
 }
 
@@ -111,18 +111,19 @@
   }
   while (true) {
     const milliseconds due =
-      turn_.DueIn(TimerService::Now(), ProofAge(), parts_.rank_());
+      readSchedule_.DueIn(TimerService::Now(), ProofAge(), parts_.rank_());
     if (due <= milliseconds(0)) {
       co_await Read();
       continue;
     }
-    NoteReading(turn_.IsActiveReader(TimerService::Now()));
-    const milliseconds longest = proof_ ? kLongestNap : kLongestNapUnproven;
-    co_await TimerService::SleepFor(std::clamp(due, kShortestNap, longest));
+    LogReaderRole(readSchedule_.IsActiveReader(TimerService::Now()));
+    const milliseconds maxSleep = proof_ ? kMaxSleep : kMaxSleepWithoutProof;
+    co_await TimerService::SleepFor(std::clamp(due, kMinSleep, maxSleep));
   }
 }
 
-// On failure the lists are left to Read(), which handles store errors.
+// Lists of any age. On failure it does nothing, since Read() follows and
+// handles store errors.
 asio::awaitable<void> StoreFollower::ReadAnyAge()
 {
   const TimePoint limit = TimerService::Now() + options_.callTimeout_;
@@ -135,34 +136,34 @@
   if (!routes) {
     co_return;
   }
-  auto listed = ViewedOf(std::move(endpoints.value().items_));
+  auto listed = ToCachedObjects(std::move(endpoints.value().items_));
   const std::uint64_t endpointsRevision = NewestRevision(listed);
   Publish(options_.endpointsKind_,
           endpoints_.OnList(std::move(listed), endpointsRevision));
-  if (!proof_) { // otherwise other hosts have sent newer routes meanwhile
-    auto documents = ViewedOf(std::move(routes.value().items_));
+  if (!proof_) { // with a proof, other hosts have sent newer routes
+    auto documents = ToCachedObjects(std::move(routes.value().items_));
     const std::uint64_t routesRevision = NewestRevision(documents);
     unprovenRoutes_ = routes_.OnList(std::move(documents), routesRevision);
   }
   const TimePoint now = TimerService::Now();
   anyAgeReadAt_ = now;
   std::minstd_rand random{ std::random_device{}() };
-  turn_.DelayUntil(now +
-                   options_.firstReadMaxDelay_ * (random() % 1'000) / 1'000);
+  readSchedule_.DelayUntil(now + options_.firstReadMaxDelay_ *
+                                   (random() % 1'000) / 1'000);
 }
 
 bool StoreFollower::ExpediteFirstProof()
 {
   if (!proof_) {
-    turn_.CancelDelay();
+    readSchedule_.CancelDelay();
   }
   return !proof_;
 }
 
 asio::awaitable<void> StoreFollower::Read()
 {
-  // A host takes requests as soon as it has routes, so it learns first where to
-  // send them: the other way round its first callers were refused.
+  // A host accepts requests as soon as it has routes, so the endpoints are read
+  // first. In the opposite order its first callers were refused.
   bool read = true;
   if (endpoints_.Revision() == 0) {
     read = co_await ReadKind(options_.endpointsKind_, endpoints_);
@@ -176,30 +177,30 @@
   if (read) {
     read = co_await ReadChanges();
   }
-  const bool wasLost = turn_.IsStoreUnavailable();
+  const bool wasUnavailable = readSchedule_.IsStoreUnavailable();
   if (read) {
-    turn_.OnRead(TimerService::Now());
-    NoteReading(true);
+    readSchedule_.OnRead(TimerService::Now());
+    LogReaderRole(true);
   } else {
-    turn_.OnFailed(TimerService::Now(), parts_.rank_());
+    readSchedule_.OnFailed(TimerService::Now(), parts_.rank_());
   }
-  if (wasLost == read) {
-    parts_.onStore_(read);
+  if (wasUnavailable == read) {
+    parts_.onReachabilityChanged_(read);
   }
 }
 
 asio::awaitable<bool> StoreFollower::ReadRoutes()
 {
-  const BootTime began = TimerService::BootNow();
+  const BootTime readStart = TimerService::BootNow();
   auto list = co_await parts_.store_.List(
     options_.routesKind_, TimerService::Now() + options_.callTimeout_);
   if (!list) {
     co_return false;
   }
-  NoteGap(began);
-  TakeInList(options_.routesKind_, routes_, std::move(list.value()));
-  // Only now: a proof holds for what has been taken in.
-  OnProof(began);
+  DetectOutage(readStart);
+  ApplyList(options_.routesKind_, routes_, std::move(list.value()));
+  // After applying the list, since a proof covers only applied data.
+  OnProof(readStart);
   co_return true;
 }
 
@@ -227,8 +228,7 @@
     }
   }
   if (evacuations) {
-    TakeInList(
-      options_.evacuationsKind_, evacuations_, std::move(*evacuations));
+    ApplyList(options_.evacuationsKind_, evacuations_, std::move(*evacuations));
   }
   co_return true;
 }
@@ -241,23 +241,23 @@
   if (!list) {
     co_return false;
   }
-  TakeInList(aKind, aView, std::move(list.value()));
+  ApplyList(aKind, aView, std::move(list.value()));
   co_return true;
 }
 
-void StoreFollower::TakeInList(const std::string& aKind,
-                               StoreView& aView,
-                               StoreList aList)
+void StoreFollower::ApplyList(const std::string& aKind,
+                              StoreView& aView,
+                              StoreList aList)
 {
-  const ViewUpdate news =
-    aView.OnList(ViewedOf(std::move(aList.items_)), RevisionOf(aList.version_));
-  Publish(aKind, news);
-  if (!news.Empty()) {
-    parts_.onNews_();
+  const ViewUpdate update = aView.OnList(
+    ToCachedObjects(std::move(aList.items_)), RevisionOf(aList.version_));
+  Publish(aKind, update);
+  if (!update.Empty()) {
+    parts_.onNewData_();
   }
 }
 
-StoreStatus StoreFollower::Headline() const
+StoreStatus StoreFollower::CurrentStatus() const
 {
   return { .routes_ = routes_.Revision(),
            .endpoints_ = endpoints_.Revision(),
@@ -265,29 +265,29 @@
            .proofAge_ = ProofAge() };
 }
 
-void StoreFollower::OnHeadline(const PeerMember& aPeer,
-                               const StoreStatus& aHeadline,
-                               std::optional<BootTime> aAsked)
+void StoreFollower::OnPeerStatus(const PeerMember& aPeer,
+                                 const StoreStatus& aStatus,
+                                 std::optional<BootTime> aRequestTime)
 {
-  const bool knowsRoutes = aHeadline.routes_ <= routes_.Revision();
-  const bool knowsAll = knowsRoutes &&
-                        aHeadline.endpoints_ <= endpoints_.Revision() &&
-                        aHeadline.evacuations_ <= evacuations_.Revision();
-  if (!knowsAll && !fetching_) {
+  const bool hasRoutes = aStatus.routes_ <= routes_.Revision();
+  const bool hasAll = hasRoutes &&
+                      aStatus.endpoints_ <= endpoints_.Revision() &&
+                      aStatus.evacuations_ <= evacuations_.Revision();
+  if (!hasAll && !fetching_) {
     SpawnTask(parts_.executor_, Fetch(aPeer));
   }
-  // The teller's routes showed all changes up to its proof, and this host knows
+  // The peer's routes included all changes up to its proof, and this host has
   // the same routes or later ones. The first proof makes this host start
-  // serving, so it must know the other kinds as well by then.
-  const bool suffices = proof_ ? knowsRoutes : knowsAll;
-  if (suffices && aHeadline.routes_ > 0 && aAsked && aHeadline.proofAge_) {
-    const BootTime began = *aAsked - *aHeadline.proofAge_;
-    NoteGap(began);
-    OnProof(began);
+  // serving, so it must have the objects of the other kinds by then as well.
+  const bool suffices = proof_ ? hasRoutes : hasAll;
+  if (suffices && aStatus.routes_ > 0 && aRequestTime && aStatus.proofAge_) {
+    const BootTime readStart = *aRequestTime - *aStatus.proofAge_;
+    DetectOutage(readStart);
+    OnProof(readStart);
   }
 }
 
-json StoreFollower::Question() const
+json StoreFollower::FetchParams() const
 {
   return { { kRoutes, routes_.Revision() },
            { kEndpoints, endpoints_.Revision() },
@@ -297,59 +297,62 @@
 asio::awaitable<void> StoreFollower::Fetch(PeerMember aPeer)
 {
   fetching_ = true;
-  const BootTime asked = TimerService::BootNow();
-  json question = Question();
+  const BootTime requestTime = TimerService::BootNow();
+  json params = FetchParams();
   const auto answer = co_await parts_.call_(
-    aPeer, std::move(question), TimerService::Now() + options_.peerTimeout_);
+    aPeer, std::move(params), TimerService::Now() + options_.peerTimeout_);
   fetching_ = false;
   if (!answer || answer.value().empty()) {
-    co_return; // the next headline leads to another host
+    co_return; // the next status triggers a fetch from another host
   }
   try {
-    TakeIn(answer.value(), asked);
+    ApplyAnswer(answer.value(), requestTime);
   } catch (const json::exception&) {
     Log(LogEvent::kPeerRefused,
-        { { "reason", "not readable" }, { "peer", aPeer.host_ } });
+        { { "reason", "malformed answer" }, { "peer", aPeer.host_ } });
   }
 }
 
-// Throws a json::exception when the answer is of another form.
-void StoreFollower::TakeIn(const json& aAnswer, BootTime aAsked)
+// Throws a json::exception if the answer is malformed.
+void StoreFollower::ApplyAnswer(const json& aAnswer, BootTime aRequestTime)
 {
-  const StoreDelta routes = ChangesFromJson(aAnswer.at(kRoutes));
-  const StoreDelta endpoints = ChangesFromJson(aAnswer.at(kEndpoints));
-  std::optional<BootTime> began;
+  const StoreDelta routes = DeltaFromJson(aAnswer.at(kRoutes));
+  const StoreDelta endpoints = DeltaFromJson(aAnswer.at(kEndpoints));
+  std::optional<BootTime> readStart;
   if (aAnswer.contains(kProofAge)) {
-    began = aAsked - milliseconds(aAnswer.at(kProofAge).get<std::int64_t>());
-    NoteGap(*began);
+    readStart =
+      aRequestTime - milliseconds(aAnswer.at(kProofAge).get<std::int64_t>());
+    DetectOutage(*readStart);
   }
   Publish(options_.endpointsKind_, endpoints_.ApplyDelta(endpoints));
-  if (aAnswer.contains(kEvacuations)) { // else an earlier version answered
-    const StoreDelta evacuations = ChangesFromJson(aAnswer.at(kEvacuations));
+  // Absent if the peer runs an earlier version.
+  if (aAnswer.contains(kEvacuations)) {
+    const StoreDelta evacuations = DeltaFromJson(aAnswer.at(kEvacuations));
     Publish(options_.evacuationsKind_, evacuations_.ApplyDelta(evacuations));
   }
   Publish(options_.routesKind_, routes_.ApplyDelta(routes));
-  if (began) {
-    OnProof(*began);
+  if (readStart) {
+    OnProof(*readStart);
   }
 }
 
 json StoreFollower::Answer(const json& aParams) const
 {
-  json answer = { { kRoutes,
-                    ChangesToJson(routes_.Since(
-                      aParams.value(kRoutes, std::uint64_t{ 0 }))) },
-                  { kEndpoints,
-                    ChangesToJson(endpoints_.Since(
-                      aParams.value(kEndpoints, std::uint64_t{ 0 }))) },
-                  { kEvacuations,
-                    ChangesToJson(evacuations_.Since(
-                      aParams.value(kEvacuations, std::uint64_t{ 0 }))) } };
+  json answer = {
+    { kRoutes,
+      DeltaToJson(routes_.Since(aParams.value(kRoutes, std::uint64_t{ 0 }))) },
+    { kEndpoints,
+      DeltaToJson(
+        endpoints_.Since(aParams.value(kEndpoints, std::uint64_t{ 0 }))) },
+    { kEvacuations,
+      DeltaToJson(
+        evacuations_.Since(aParams.value(kEvacuations, std::uint64_t{ 0 }))) }
+  };
   const auto size = [&answer](const char* aKind) {
-    return answer.at(aKind).at(kChanges).get_ref<const std::string&>().size();
+    return answer.at(aKind).at(kObjects).get_ref<const std::string&>().size();
   };
   if (size(kRoutes) + size(kEndpoints) + size(kEvacuations) >
-      options_.mostBytes_) {
+      options_.maxAnswerBytes_) {
     return json::object();
   }
   if (const auto age = ProofAge()) {
@@ -358,7 +361,7 @@
   return answer;
 }
 
-void StoreFollower::Publish(const std::string& aKind, const ViewUpdate& aNews)
+void StoreFollower::Publish(const std::string& aKind, const ViewUpdate& aUpdate)
 {
   if (aKind == options_.routesKind_ && !unprovenRoutes_.Empty()) {
     Publish(aKind, std::exchange(unprovenRoutes_, {}));
@@ -366,36 +369,36 @@
   const auto& sink = aKind == options_.routesKind_      ? parts_.onRoutes_
                      : aKind == options_.endpointsKind_ ? parts_.onEndpoint_
                                                         : parts_.onEvacuation_;
-  for (const CachedObject& object : aNews.objects_) {
+  for (const CachedObject& object : aUpdate.objects_) {
     sink({ .object_ = { .kind_ = aKind,
                         .name_ = object.name_,
                         .version_ = object.version_,
                         .spec_ = object.spec_ } });
   }
-  for (const std::string& name : aNews.removed_) {
+  for (const std::string& name : aUpdate.removed_) {
     sink({ .deleted_ = true, .object_ = { .kind_ = aKind, .name_ = name } });
   }
 }
 
-// Before what was read is taken in: what it lacks may have lapsed during the
-// outage though it lives.
-void StoreFollower::NoteGap(BootTime aBegan)
+// Must be called before new data is applied: entries that are missing in it may
+// have expired during the outage although their endpoints are alive.
+void StoreFollower::DetectOutage(BootTime aReadStart)
 {
-  if (proof_ && aBegan - *proof_ > options_.outage_) {
-    parts_.onReturned_();
+  if (proof_ && aReadStart - *proof_ > options_.outageThreshold_) {
+    parts_.onStoreReturned_();
   }
 }
 
-void StoreFollower::OnProof(BootTime aBegan)
+void StoreFollower::OnProof(BootTime aReadStart)
 {
-  if (!proof_ || aBegan > *proof_) {
-    proof_ = aBegan;
-    Publish(options_.routesKind_, {}); // the routes that lacked a proof
-    parts_.onProof_(aBegan);
+  if (!proof_ || aReadStart > *proof_) {
+    proof_ = aReadStart;
+    Publish(options_.routesKind_, {}); // publishes unprovenRoutes_
+    parts_.onProof_(aReadStart);
   }
 }
 
-// Rounded up: a proof must never look younger than it is.
+// Rounds up, since a proof must never appear younger than it is.
 std::optional<milliseconds> StoreFollower::ProofAge() const
 {
   if (!proof_) {
@@ -404,13 +407,13 @@
   return std::chrono::ceil<milliseconds>(TimerService::BootNow() - *proof_);
 }
 
-void StoreFollower::NoteReading(bool aReads)
+void StoreFollower::LogReaderRole(bool aIsReader)
 {
-  if (reads_ != aReads) {
-    reads_ = aReads;
+  if (isReader_ != aIsReader) {
+    isReader_ = aIsReader;
     const ReaderRank rank = parts_.rank_();
     Log(LogEvent::kStoreReading,
-        { { "reads_itself", aReads },
+        { { "reads_itself", aIsReader },
           { "live_hosts", rank.hosts_ },
           { "before", rank.reachableBefore_ } });
   }
