--- a/src/host/gooseberrylift-entry-host.cc
+++ b/src/host/gooseberrylift-entry-host.cc
@@ -19,8 +19,8 @@
 
 namespace {
 
-// Gives what this host tells its peers of itself.
-Digest DigestOf(const Blackboard& aBoard)
+// Returns the state that this host sends to its peers.
+Digest BuildDigest(const Blackboard& aBoard)
 {
   Digest digest;
   const auto configuration = aBoard.configuration_.Read()->configuration_;
@@ -43,7 +43,7 @@
   return digest;
 }
 
-OfferedConfiguration OfferedBy(const Blackboard& aBoard)
+OfferedConfiguration CurrentConfiguration(const Blackboard& aBoard)
 {
   const auto current = aBoard.configuration_.Read()->configuration_;
   if (!current) {
@@ -77,10 +77,10 @@
         .store_ = store_,
         .client_ = client_,
         .executor_ = context_.get_executor(),
-        .own_ = [this] { return DigestOf(board_); },
+        .own_ = [this] { return BuildDigest(board_); },
         .publish_ =
           [this](const PeersState& aPeers) { board_.peers_.Write(aPeers); },
-        .configuration_ = [this] { return OfferedBy(board_); },
+        .configuration_ = [this] { return CurrentConfiguration(board_); },
         .offer_ =
           [this](const OfferedConfiguration& aOffered) {
             configFollower_.OfferText(
@@ -236,16 +236,16 @@
 {
   Log(LogEvent::kDrainStarted);
   board_.host_.Write({ .draining_ = true });
-  const std::size_t cut = co_await callerServer_.Drain(
+  const std::size_t abortedRequests = co_await callerServer_.Drain(
     settings_.drainLag_,
     TimerService::Now() + settings_.drainLag_ + settings_.drainLimit_);
-  // Outcomes of calls that may not be repeated are recorded after the answer;
-  // leaving earlier would turn them into "unknown".
+  // Outcomes of at-most-once calls are recorded after the answer is sent; a
+  // host that exited earlier would leave them as "unknown".
   const TimePoint limit = TimerService::Now() + settings_.drainLag_;
   while (!once_.Idle() && TimerService::Now() < limit) {
     co_await TimerService::SleepFor(std::chrono::milliseconds(10));
   }
-  Log(LogEvent::kDrainFinished, { { "cut", cut } });
+  Log(LogEvent::kDrainFinished, { { "cut", abortedRequests } });
 }
 
 } // namespace gooseberrylift
--- a/src/host/gooseberrylift-gateway-host.cc
+++ b/src/host/gooseberrylift-gateway-host.cc
@@ -21,24 +21,24 @@
 
 namespace {
 
-// Words of load. Each round a host exchanges with so many others, so that in a
-// fleet of nine each has the word of every other about every 150 ms; long
-// prompts are told at once. In that time such a fleet places some eight
-// requests.
+// The interval between rounds of the peer exchange, and the number of hosts
+// contacted in each. In a fleet of nine, each host thus has the load of every
+// other about every 150 ms, while such a fleet places some eight requests. Long
+// prompts are reported at once.
 constexpr milliseconds kPeerRound{ 150 };
-constexpr std::size_t kPeerPartners = 3;
-// In a large fleet words and headlines in datagrams carry all that is urgent,
-// and the exchange only what seldom changes: shorter rounds would take a small
-// host's processor from its callers.
+constexpr std::size_t kPeerRoundFanout = 3;
+// In a large fleet, datagrams carry all urgent data, that is load messages and
+// the store status, and the exchange carries only data that seldom changes.
+// Shorter rounds would use too much CPU on a small host.
 constexpr milliseconds kLargePeerRound{ 600 };
-constexpr int kPeerRoundsUntilGone = 15; // two seconds and a bit
-// Words of others in a message. Of a zone of 60 a host so gets some 23 words a
-// second, one of each host in under three seconds; one that is not heard of for
-// nine counts as gone.
-constexpr std::size_t kPeerRelayed = 6;
-// By which a host fetches from another what it lacks of the store's objects.
+constexpr int kPeerRoundsUntilExpired = 15; // slightly over two seconds
+// The number of other hosts' digests relayed in a message. In a zone of 60, a
+// host thus receives some 23 digests a second, one of each host in under three
+// seconds; a host without a digest for nine seconds counts as gone.
+constexpr std::size_t kRelayedDigests = 6;
+// RPC method that returns the store's objects that the calling host lacks.
 constexpr const char* kStoreMethod = "store";
-// By which a host asks another for permits to send to endpoints with a limit.
+// RPC method that grants permits to send to endpoints with a rate limit.
 constexpr const char* kPermitMethod = "permit";
 
 std::unique_ptr<ObjectStore> MakeStore(HttpClient& aClient,
@@ -74,68 +74,72 @@
   , fleet_({ .host_ = settings_.hostName_,
              .zone_ = settings_.zone_,
              .limiter_ = limiter_,
-             .onReborn_ =
+             .onRestarted_ =
                [this](const std::string& aEndpoint) {
                  suspects_.OnEndpointExit(aEndpoint);
                } })
   , routes_(*dialect_, board_)
   , endpoints_(*dialect_, fleet_)
-  , follower_(FollowerParts(), FollowerOptions())
+  , storeFollower_(StoreFollowerParts(), StoreFollowerOptions())
   , peers_(
       { .settings_ = settings_,
         .store_ = *store_,
         .client_ = peerClient_,
         .executor_ = context_.get_executor(),
         .own_ = [this] { return OwnDigest(); },
-        .publish_ = [this](const PeersState& aPeers) { TakeInPeers(aPeers); },
+        .publish_ = [this](const PeersState& aPeers) { ApplyPeers(aPeers); },
         .isListed_ = [this] { return rank_.rank_ == 0; } },
       { .round_ = kPeerRound,
         .largeFleetRound_ = kLargePeerRound,
         .publishesInRounds_ = true,
         .callTimeout_ = milliseconds(500),
-        .roundFanout_ = kPeerPartners,
-        .roundsUntilExpired_ = kPeerRoundsUntilGone,
-        .relayed_ = kPeerRelayed })
+        .roundFanout_ = kPeerRoundFanout,
+        .roundsUntilExpired_ = kPeerRoundsUntilExpired,
+        .relayed_ = kRelayedDigests })
   , suspects_({ .client_ = client_,
                 .executor_ = context_.get_executor(),
                 .tell_ = [this] { peers_.TellNear(); } })
   , datagrams_(context_.get_executor())
-  , headlines_({ .executor_ = context_.get_executor(),
-                 .datagrams_ = datagrams_,
-                 .draw_ = [this] { return SamplePeers(groups_, random_); },
-                 .own_ = [this] { return follower_.Headline(); },
-                 .take_ =
-                   [this](const PeerMember& aPeer,
-                          const StoreStatus& aHeadline,
-                          std::optional<BootTime> aAsked) {
-                     peers_.OnHeard(aPeer.host_);
-                     follower_.OnHeadline(aPeer, aHeadline, aAsked);
-                   } },
-               { .host_ = settings_.hostName_ })
-  , words_({ .executor_ = context_.get_executor(),
-             .datagrams_ = datagrams_,
-             .own_ = [this] { return fleet_.OwnShares(); },
-             .ownAt_ =
-               [this](const std::vector<ListedEndpoint>& aEndpoints) {
-                 return fleet_.OwnSharesAt(aEndpoints);
-               },
-             .zoneSums_ = [this] { return fleet_.SumOf(groups_.zoneHosts_); },
-             .take_ =
-               [this](const LoadMessage& aWord) {
-                 metrics_.Count("gooseberrylift_load_words_total", "");
-                 fleet_.OnLoadMessage(aWord);
-               } },
-           { .host_ = settings_.hostName_, .zone_ = settings_.zone_ })
-  , settingsWatch_(
+  , statusExchange_(
       { .executor_ = context_.get_executor(),
-        .path_ = std::move(aPath),
-        .apply_ =
-          [this](const GatewaySettings& aBounds) { ApplyBounds(aBounds); } })
+        .datagrams_ = datagrams_,
+        .draw_ = [this] { return SamplePeers(peerGroups_, random_); },
+        .own_ = [this] { return storeFollower_.CurrentStatus(); },
+        .take_ =
+          [this](const PeerMember& aPeer,
+                 const StoreStatus& aStatus,
+                 std::optional<BootTime> aRequestTime) {
+            peers_.OnHeard(aPeer.host_);
+            storeFollower_.OnPeerStatus(aPeer, aStatus, aRequestTime);
+          } },
+      { .host_ = settings_.hostName_ })
+  , loadExchange_(
+      { .executor_ = context_.get_executor(),
+        .datagrams_ = datagrams_,
+        .own_ = [this] { return fleet_.OwnShares(); },
+        .ownAt_ =
+          [this](const std::vector<ListedEndpoint>& aEndpoints) {
+            return fleet_.OwnSharesAt(aEndpoints);
+          },
+        .zoneSums_ =
+          [this] { return fleet_.SumSharesOf(peerGroups_.zoneHosts_); },
+        .take_ =
+          [this](const LoadMessage& aMessage) {
+            metrics_.Count("gooseberrylift_load_words_total", "");
+            fleet_.OnLoadMessage(aMessage);
+          } },
+      { .host_ = settings_.hostName_, .zone_ = settings_.zone_ })
+  , settingsWatch_({ .executor_ = context_.get_executor(),
+                     .path_ = std::move(aPath),
+                     .apply_ =
+                       [this](const GatewaySettings& aGatewaySettings) {
+                         ApplyGatewaySettings(aGatewaySettings);
+                       } })
   , front_({ .board_ = board_,
              .dialect_ = *dialect_,
              .metrics_ = metrics_,
              .expediteFirstProof_ =
-               [this] { return follower_.ExpediteFirstProof(); },
+               [this] { return storeFollower_.ExpediteFirstProof(); },
              .run_ = { .board_ = board_,
                        .client_ = client_,
                        .dialect_ = *dialect_,
@@ -145,7 +149,7 @@
                        .suspects_ = suspects_,
                        .limiter_ = limiter_,
                        .executor_ = context_.get_executor(),
-                       .words_ = words_ } })
+                       .words_ = loadExchange_ } })
   , callerServer_(
       context_.get_executor(),
       { .address_ = settings_.caller_.address_,
@@ -169,12 +173,12 @@
       [this](HttpExchange& aExchange) { return peers_.Handle(aExchange); })
 {
   peers_.AddMethod(kStoreMethod, [this](const nlohmann::json& aParams) {
-    return follower_.Answer(aParams);
+    return storeFollower_.Answer(aParams);
   });
   peers_.AddMethod(kPermitMethod, [this](const nlohmann::json& aParams) {
     return limiter_.Answer(aParams);
   });
-  ApplyBounds(*settings_.gateway_);
+  ApplyGatewaySettings(*settings_.gateway_);
   board_.routes_.Subscribe([this](const auto& aSnapshot) {
     const CallerLimits& limits = aSnapshot->table_->Limits();
     callerServer_.SetLimits({ .maxHeaderBytes_ = limits.maxHeaderBytes_,
@@ -191,7 +195,7 @@
   Digest digest;
   const RouteTable::Ptr table = board_.routes_.Read()->table_;
   digest.generation_ = table ? table->Version() : 0;
-  digest.storeReachable_ = !follower_.IsStoreUnavailable();
+  digest.storeReachable_ = !storeFollower_.IsStoreUnavailable();
   digest.draining_ = board_.host_.Read()->draining_;
   digest.keysProven_ = routes_.KeysAreProven();
   digest.quarantine_ = suspects_.Entries();
@@ -199,24 +203,24 @@
   return digest;
 }
 
-void GatewayHost::TakeInPeers(const PeersState& aPeers)
+void GatewayHost::ApplyPeers(const PeersState& aPeers)
 {
   bool proven = false;
   for (const Digest& digest : aPeers.digests_) {
     proven = proven || (digest.keysProven_ && !digest.draining_);
   }
   if (!aPeers.digests_.empty()) {
-    fleet_.OnPeersHeard();
+    fleet_.OnPeerContact();
   }
   fleet_.OnPeersKnown(aPeers.known_);
-  groups_ = GroupPeers({ .host_ = settings_.hostName_,
-                         .zone_ = settings_.zone_,
-                         .known_ = peers_.Known(),
-                         .live_ = aPeers.digests_,
-                         .fleet_ = aPeers.known_ });
-  words_.SetPeers(groups_.words_);
-  peersProven_ = proven;
-  if (settings_.gateway_->relaysStore_) { // else as if it were the only one
+  peerGroups_ = GroupPeers({ .host_ = settings_.hostName_,
+                             .zone_ = settings_.zone_,
+                             .known_ = peers_.Known(),
+                             .live_ = aPeers.digests_,
+                             .fleet_ = aPeers.known_ });
+  loadExchange_.SetPeers(peerGroups_.words_);
+  peersHaveProvenKeys_ = proven;
+  if (settings_.gateway_->relaysStore_) { // otherwise it ranks as the only host
     rank_ = RankAmong({ .host_ = settings_.hostName_,
                         .leaving_ = board_.host_.Read()->draining_ },
                       aPeers.digests_);
@@ -241,7 +245,7 @@
 
 std::string GatewayHost::AdminAddress() const
 {
-  // Port 0 in the settings stands for one that is given at the start.
+  // With port 0 in the settings, the system chooses the port at startup.
   const std::uint16_t port =
     settings_.admin_.port_ != 0 ? settings_.admin_.port_ : adminServer_.Port();
   return settings_.admin_.address_ + ":" + std::to_string(port);
@@ -249,47 +253,49 @@
 
 EndpointLimiter::Parts GatewayHost::LimiterParts()
 {
-  return { .executor_ = context_.get_executor(),
-           .metrics_ = metrics_,
-           .isListed_ =
-             [this](const Incarnation& aEndpoint) {
-               return fleet_.IsListed(aEndpoint);
-             },
-           .tell_ = [this] { peers_.TellNear(); },
-           .call_ =
-             [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aBy) {
-               return peers_.Call(
-                 std::move(aPeer), kPermitMethod, std::move(aParams), aBy);
-             } };
+  return {
+    .executor_ = context_.get_executor(),
+    .metrics_ = metrics_,
+    .isListed_ =
+      [this](const Incarnation& aEndpoint) {
+        return fleet_.IsListed(aEndpoint);
+      },
+    .tell_ = [this] { peers_.TellNear(); },
+    .call_ =
+      [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aDeadline) {
+        return peers_.Call(
+          std::move(aPeer), kPermitMethod, std::move(aParams), aDeadline);
+      }
+  };
 }
 
-StoreFollower::Parts GatewayHost::FollowerParts()
+StoreFollower::Parts GatewayHost::StoreFollowerParts()
 {
   return {
     .store_ = *store_,
     .executor_ = context_.get_executor(),
     .call_ =
-      [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aBy) {
+      [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aDeadline) {
         return peers_.Call(
-          std::move(aPeer), kStoreMethod, std::move(aParams), aBy);
+          std::move(aPeer), kStoreMethod, std::move(aParams), aDeadline);
       },
     .onRoutes_ = [this](const StoreEvent& aEvent) { routes_.OnEvent(aEvent); },
     .onEndpoint_ =
       [this](const StoreEvent& aEvent) { endpoints_.OnEvent(aEvent); },
     .onEvacuation_ =
       [this](const StoreEvent& aEvent) { endpoints_.OnEvacuation(aEvent); },
-    .onProof_ = [this](BootTime aBegan) { routes_.OnProof(aBegan); },
-    .onStore_ =
+    .onProof_ = [this](BootTime aReadStart) { routes_.OnProof(aReadStart); },
+    .onReachabilityChanged_ =
       [](bool aReachable) {
         Log(aReachable ? LogEvent::kStoreReached : LogEvent::kStoreLost);
       },
-    .onReturned_ = [this] { endpoints_.OnStoreReturned(); },
-    .onNews_ = [this] { headlines_.AskNow(); },
+    .onStoreReturned_ = [this] { endpoints_.OnStoreReturned(); },
+    .onNewData_ = [this] { statusExchange_.AskNow(); },
     .rank_ = [this] { return rank_; },
   };
 }
 
-StoreFollower::Options GatewayHost::FollowerOptions() const
+StoreFollower::Options GatewayHost::StoreFollowerOptions() const
 {
   const StoreKinds kinds = dialect_->Kinds();
   return { .routesKind_ = kinds.routes_,
@@ -310,20 +316,21 @@
   if (!open) {
     Log(LogEvent::kPeerWordsFailed, { { "fault", open.error().text_ } });
   }
-  words_.Start();
+  loadExchange_.Start();
   if (settings_.gateway_->relaysStore_) {
-    headlines_.Start();
+    statusExchange_.Start();
   }
   peers_.Start(peerServer_.Port(), { key }, AdminAddress());
 }
 
-void GatewayHost::ApplyBounds(const GatewaySettings& aBounds)
+void GatewayHost::ApplyGatewaySettings(const GatewaySettings& aGatewaySettings)
 {
-  board_.bounds_.Write({ .bounds_ = aBounds });
+  board_.bounds_.Write({ .bounds_ = aGatewaySettings });
   const std::lock_guard lock(repeats_.mutex_);
-  repeats_.budget_.SetOptions({ .ratio_ = aBounds.retryRatio_,
-                                .window_ = aBounds.retryWindow_,
-                                .allowance_ = aBounds.retryAllowance_ });
+  repeats_.budget_.SetOptions(
+    { .ratio_ = aGatewaySettings.retryRatio_,
+      .window_ = aGatewaySettings.retryWindow_,
+      .allowance_ = aGatewaySettings.retryAllowance_ });
 }
 
 Outcome<void> GatewayHost::Run()
@@ -332,7 +339,7 @@
   if (!listening) {
     return listening.error();
   }
-  SpawnTask(context_.get_executor(), follower_.Run());
+  SpawnTask(context_.get_executor(), storeFollower_.Run());
   SpawnTask(context_.get_executor(), StartPeers());
   settingsWatch_.Start();
   SpawnTask(context_.get_executor(), WaitForStop());
@@ -360,7 +367,7 @@
   return boost::outcome_v2::success();
 }
 
-std::string GatewayHost::WhyNotReady()
+std::string GatewayHost::NotReadyReason()
 {
   if (board_.host_.Read()->draining_) {
     return "draining";
@@ -369,18 +376,18 @@
   if (!table) {
     return "no configuration yet";
   }
-  // A host that must refuse keys sends its callers to those that need not.
-  // When none can, it stays: it may be the first to reach the store again, and
-  // its public routes are served meanwhile.
-  if (table->NeedsKeys() && peersProven_ && !routes_.KeysAreProven()) {
-    return "keys are not proven here, but on other hosts";
+  // A host that must reject keys reports that it is not ready while another
+  // host can accept them. If no host can, it stays ready: it may be the first
+  // to reach the store again, and it can serve public routes meanwhile.
+  if (table->NeedsKeys() && peersHaveProvenKeys_ && !routes_.KeysAreProven()) {
+    return "keys are not proven here, but they are on other hosts";
   }
   return {};
 }
 
 asio::awaitable<void> GatewayHost::HandleReady(HttpExchange& aExchange)
 {
-  const std::string reason = WhyNotReady();
+  const std::string reason = NotReadyReason();
   const std::string text = reason.empty() ? "ready" : reason;
   co_await aExchange.Send(
     TextResponse(reason.empty() ? 200 : 503, text + "\n"));
@@ -390,14 +397,14 @@
 {
   const RouteTable::Ptr table = board_.routes_.Read()->table_;
   const auto age = routes_.ProofAge();
-  const std::string reason = WhyNotReady();
+  const std::string reason = NotReadyReason();
   const nlohmann::json status = {
     { "host", settings_.hostName_ },
     { "zone", settings_.zone_ },
     { "ready", reason.empty() },
     { "why_not_ready", reason },
     { "generation", table ? table->Version() : 0 },
-    { "store_reachable", !follower_.IsStoreUnavailable() },
+    { "store_reachable", !storeFollower_.IsStoreUnavailable() },
     { "proof_age_ms", age ? age->count() : -1 },
     { "keys_proven", routes_.KeysAreProven() },
   };
@@ -406,7 +413,7 @@
 
 asio::awaitable<void> GatewayHost::HandleAdmin(HttpExchange& aExchange)
 {
-  // Hosts that start know others by this address only.
+  // A starting host knows only the admin addresses of other hosts.
   if (PeerRpc::IsCall(aExchange.Request())) {
     co_await peers_.Handle(aExchange);
     co_return;
@@ -442,10 +449,10 @@
 {
   Log(LogEvent::kDrainStarted);
   board_.host_.Write({ .draining_ = true });
-  const std::size_t cut = co_await callerServer_.Drain(
+  const std::size_t abortedRequests = co_await callerServer_.Drain(
     settings_.drainLag_,
     TimerService::Now() + settings_.drainLag_ + settings_.drainLimit_);
-  Log(LogEvent::kDrainFinished, { { "cut", cut } });
+  Log(LogEvent::kDrainFinished, { { "cut", abortedRequests } });
 }
 
 } // namespace gooseberrylift
--- a/src/host/gooseberrylift-host-stop.cc
+++ b/src/host/gooseberrylift-host-stop.cc
@@ -16,20 +16,22 @@
 
 namespace {
 
-// The drain limit must leave time for both steps before the process is killed.
-constexpr milliseconds kAnswersLimit{ 100 };
-constexpr milliseconds kTasksLimit{ 500 };
+// Time limits for sending the final answers and for cancelling tasks. The drain
+// limit must leave time for both before the process is killed.
+constexpr milliseconds kAnswerTimeout{ 100 };
+constexpr milliseconds kTaskTimeout{ 500 };
 
-constexpr milliseconds kPoll{ 10 };
+constexpr milliseconds kPollInterval{ 10 };
 
+// Runs the context until a condition holds or the timeout expires.
 void RunUntil(boost::asio::io_context& aContext,
-              milliseconds aLimit,
+              milliseconds aTimeout,
               const std::function<bool()>& aDone)
 {
-  const TimePoint limit = TimerService::Now() + aLimit;
-  while (!aDone() && TimerService::Now() < limit) {
+  const TimePoint deadline = TimerService::Now() + aTimeout;
+  while (!aDone() && TimerService::Now() < deadline) {
     aContext.restart();
-    aContext.run_one_for(kPoll);
+    aContext.run_one_for(kPollInterval);
   }
 }
 
@@ -38,11 +40,11 @@
 void FinishStop(boost::asio::io_context& aContext,
                 const std::vector<HttpServer*>& aServers)
 {
-  const TimePoint began = TimerService::Now();
+  const TimePoint start = TimerService::Now();
   for (HttpServer* server : aServers) {
     server->Abort();
   }
-  RunUntil(aContext, kAnswersLimit, [&aServers] {
+  RunUntil(aContext, kAnswerTimeout, [&aServers] {
     return std::all_of(
       aServers.begin(), aServers.end(), [](const HttpServer* aServer) {
         return aServer->Active() == 0;
@@ -53,13 +55,13 @@
   }
   CancelTasks(aContext);
   RunUntil(
-    aContext, kTasksLimit, [&aContext] { return CountTasks(aContext) == 0; });
-  const std::size_t left = CountTasks(aContext);
+    aContext, kTaskTimeout, [&aContext] { return CountTasks(aContext) == 0; });
+  const std::size_t tasksLeft = CountTasks(aContext);
   Log(LogEvent::kStopped,
-      { { "tasks_left", left },
+      { { "tasks_left", tasksLeft },
         { "elapsed_ms",
-          duration_cast<milliseconds>(TimerService::Now() - began).count() } });
-  if (left > 0) {
+          duration_cast<milliseconds>(TimerService::Now() - start).count() } });
+  if (tasksLeft > 0) {
     std::_Exit(EXIT_SUCCESS);
   }
 }
--- a/src/host/gooseberrylift-settings-watch.cc
+++ b/src/host/gooseberrylift-settings-watch.cc
@@ -20,8 +20,9 @@
 
 namespace {
 
-// The settings file may change without a signal; it is small and in memory.
-constexpr std::chrono::milliseconds kPoll{ 1'000 };
+// The settings file may change without a signal. Checking it is cheap, since it
+// is small and in memory.
+constexpr std::chrono::milliseconds kPollInterval{ 1'000 };
 
 } // namespace
 
@@ -45,8 +46,8 @@
     [&]() -> leaf::result<void> {
       BOOST_LEAF_AUTO(settings, Settings::Parse(text));
       if (!settings.gateway_) {
-        return leaf::new_error(
-          MakeError(ResultCode::kSettingsInvalid, "<root>: no 'gateway'"));
+        return leaf::new_error(MakeError(ResultCode::kSettingsInvalid,
+                                         "<root>: no 'gateway' section"));
       }
       parts_.apply_(*settings.gateway_);
       SetLogLevel("all", settings.logLevel_);
@@ -62,13 +63,13 @@
 
 asio::awaitable<void> SettingsWatch::WatchFile()
 {
-  std::error_code fault;
-  auto seen = std::filesystem::last_write_time(parts_.path_, fault);
-  while (!fault) {
-    co_await TimerService::SleepFor(kPoll);
-    const auto changed = std::filesystem::last_write_time(parts_.path_, fault);
-    if (!fault && changed != seen) {
-      seen = changed;
+  std::error_code error;
+  auto lastWriteTime = std::filesystem::last_write_time(parts_.path_, error);
+  while (!error) {
+    co_await TimerService::SleepFor(kPollInterval);
+    const auto changed = std::filesystem::last_write_time(parts_.path_, error);
+    if (!error && changed != lastWriteTime) {
+      lastWriteTime = changed;
       Reload();
     }
   }
