--- a/include/gooseberrylift/internal/gooseberrylift-entry-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-entry-host.h
@@ -1,4 +1,4 @@
-// One running entry host: all its parts, put together in one place.
+// An entry host: creates and connects all its components.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENTRY_HOST_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENTRY_HOST_H_
@@ -27,7 +27,7 @@
 
 namespace gooseberrylift {
 
-// Runs until SIGTERM or SIGINT, then stops in good order:
+// Runs until SIGTERM or SIGINT, then drains and stops:
 //
 //   EntryHost host(settings);
 //   const Outcome<void> ended = host.Run();
@@ -36,7 +36,8 @@
 public:
   explicit EntryHost(Settings aSettings);
 
-  /// Serves with the settings' number of threads until a planned stop is done.
+  /// Serves with the configured number of threads until a planned stop is
+  /// complete.
   /// @return an error when a port can't be listened on
   Outcome<void> Run();
 
@@ -49,8 +50,8 @@
 
   Settings settings_;
   boost::asio::io_context context_;
-  // Lives as long as the host: a second signal must not end the process while
-  // it stops.
+  // A member, so that a second signal does not kill the process while it is
+  // stopping.
   boost::asio::signal_set stopSignals_;
   Blackboard board_;
   Metrics metrics_;
--- a/include/gooseberrylift/internal/gooseberrylift-fleet.h
+++ b/include/gooseberrylift/internal/gooseberrylift-fleet.h
@@ -1,5 +1,5 @@
-// The endpoints of all services as this host knows them, and the requests that
-// it and its peers have in work there.
+// This host's view of the endpoints of all services and of the requests that
+// it and its peers have in flight there.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FLEET_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FLEET_H_
@@ -26,38 +26,43 @@
 
 namespace gooseberrylift {
 
-// A request that wants an endpoint.
+// Describes a request that needs an endpoint.
 struct FleetQuery
 {
-  std::uint64_t id_ = 0; // this host's own number of it
+  std::uint64_t id_ = 0; // unique on this host
   std::string service_;
-  std::optional<EngineProfile> figures_; // none for a plain service
+  std::optional<EngineProfile> figures_; // empty for a plain service
   ServiceGaps gaps_;
   PlacementRequest request_;
-  std::set<std::string> tried_; // endpoints that failed it
-  std::uint64_t draw_ = 0;      // a random number
+  std::set<std::string> tried_; // endpoints that failed this request
+  std::uint64_t draw_ = 0;      // random, for shuffling and tie-breaking
 };
 
-// Where it is to go.
+// The endpoint and helpers chosen for a request, with the predictions on which
+// the choice was based.
 struct FleetPlacement
 {
   ListedEndpoint endpoint_;
   std::vector<ListedEndpoint> helpers_;
-  std::uint64_t reservedTokens_ = 0;           // to be set aside at each helper
+  std::uint64_t reservedTokens_ = 0;           // at each helper
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted
-  std::chrono::microseconds wait_{ 0 };        // of that, before its read
-  bool long_ = false;            // its read disturbs those that write beside it
-  bool deferred_ = false;        // lets those go first that are not late
-  bool peerLoadUnknown_ = false; // chosen without a word of other hosts
-  EndpointLoad load_;            // at the endpoint, before it
+  // The part of firstAnswer_ before prefill starts.
+  std::chrono::microseconds wait_{ 0 };
+  bool long_ = false; // its prefill delays requests that are decoding
+  // Predicted to miss its objective; yields to requests that can still meet
+  // theirs.
+  bool deferred_ = false;
+  bool peerLoadUnknown_ = false; // no load messages from other hosts
+  EndpointLoad load_;            // of the endpoint, without this request
   std::size_t candidates_ = 0;
-  std::size_t withheld_ = 0; // endpoints passed over for want of a permit
+  std::size_t withheld_ = 0; // endpoints skipped because no permit is left
   RequestCost cost_;
   RequestCost helperCost_;
 };
 
-// Safe from any thread: the directory has a lock, and so has each service's
-// load and trust.
+// Holds the endpoint directory and the load of each endpoint, and places
+// requests. Thread-safe: the directory has a mutex, and each service has one
+// for its load and outlier detection.
 class Fleet
 {
 public:
@@ -66,8 +71,8 @@
     std::string host_;
     std::string zone_;
     EndpointLimiter& limiter_;
-    // Told of an endpoint that has started again under the id that it had.
-    std::function<void(const std::string& aEndpoint)> onReborn_{};
+    // Called when an endpoint has restarted under the same id.
+    std::function<void(const std::string& aEndpoint)> onRestarted_{};
   };
 
   explicit Fleet(Options aOptions);
@@ -75,7 +80,7 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Changes the directory, under its lock.
+  /// Calls a function with the directory while holding its mutex.
   template<typename Change>
   void WithDirectory(const Change& aChange)
   {
@@ -83,35 +88,36 @@
     aChange(directory_);
   }
 
-  /// Chooses an endpoint, without sending anything.
+  /// Chooses an endpoint without sending anything or changing its load.
   /// @return nothing when no endpoint can take the request
   std::optional<FleetPlacement> Place(FleetQuery aQuery);
 
-  /// Uses the permit that a placement needs, if it needs one.
-  /// @return false when there is none any more: it is to be placed anew
+  /// Consumes a permit if the placement's endpoint has a rate limit.
+  /// @return false when no permit is left; the request must be placed again
   bool Claim(const FleetPlacement& aPlacement);
 
-  /// Says when the service has a permit again; zero or less while one is being
-  /// asked for.
-  /// @return nothing when it has endpoints that need none, or no endpoint
+  /// Returns the time until the service has a permit again; zero or less while
+  /// one is being requested.
+  /// @return nothing when an endpoint of the service needs no permit, or when
+  /// the service has no endpoint
   std::optional<std::chrono::milliseconds> TimeUntilPermit(
     const std::string& aService);
 
-  /// Takes in one new or changed entry.
+  /// Applies a new or changed endpoint entry to the directory.
   void OnListed(const ListedEndpoint& aListed);
 
-  /// Says whether a service has usable endpoints beside those tried.
+  /// Returns whether a service has a usable endpoint that was not tried yet.
   bool HasOther(const std::string& aService,
                 const std::set<std::string>& aTried);
 
-  /// Says whether an incarnation is in the list of endpoints.
+  /// Returns whether this incarnation of an endpoint is in the directory.
   bool IsListed(const Incarnation& aEndpoint);
 
-  /// Gives how many endpoints of a service may get requests.
+  /// Returns the number of endpoints of a service that may receive requests.
   std::size_t CountUsable(const std::string& aService);
 
-  // A request in work at its endpoint and helpers. It counts in their load
-  // until it is ended or goes.
+  // Counts a request in the load of its endpoint and helpers until End is
+  // called or the object is destroyed.
   class Use
   {
   public:
@@ -122,16 +128,17 @@
 
     const FleetPlacement& Placement() const { return placement_; }
 
-    TimePoint SentAt() const { return sent_; }
+    TimePoint SentAt() const { return sentAt_; }
 
-    /// Notes that the endpoint sent something.
-    /// @param aFirst whether it was the first of its answer
+    /// Records that the endpoint sent data for this request.
+    /// @param aFirst whether the data began the answer
     void OnHeard(bool aFirst);
 
-    /// Gives what is known of the endpoint while its answer is waited for.
+    /// Returns how recently the endpoint was active and how busy it is; used to
+    /// detect a stall.
     EndpointActivity Signs() const;
 
-    /// Ends the use and notes how it went.
+    /// Records the outcome and removes the request from the load.
     void End(EndpointOutcome aOutcome);
 
   private:
@@ -141,70 +148,71 @@
     std::uint64_t id_;
     std::string service_;
     FleetPlacement placement_;
-    TimePoint sent_;
-    TimePoint heard_; // of this request, or when it was sent
+    TimePoint sentAt_;
+    TimePoint lastDataAt_; // equals sentAt_ until data arrives
     bool begun_ = false;
     bool ended_ = false;
   };
 
-  /// Takes in a peer's word of what it, or its zone, has in work.
-  void OnLoadMessage(const LoadMessage& aWord);
+  /// Applies a message about the load of a peer or of a whole zone.
+  void OnLoadMessage(const LoadMessage& aMessage);
 
-  /// Sums by endpoint what this host and some others have in work.
-  std::vector<EndpointShare> SumOf(const std::set<std::string>& aHosts);
+  /// Returns the load of this host and of the given hosts, summed by endpoint.
+  std::vector<EndpointShare> SumSharesOf(const std::set<std::string>& aHosts);
 
-  /// Notes that other hosts are in touch: what they have in work comes in words
-  /// of their own, and a host that has none sends none.
-  void OnPeersHeard();
+  /// Records that other hosts are reachable. This counts like a load message,
+  /// since a host without requests in flight sends none.
+  void OnPeerContact();
 
-  /// Notes how many other hosts there are.
+  /// Sets the number of other hosts.
   void OnPeersKnown(std::size_t aPeers);
 
-  /// Gives what this host has in work, for its peers.
+  /// Returns the load of this host's own requests, to be sent to its peers.
   std::vector<EndpointShare> OwnShares();
 
-  /// Gives the same at some endpoints of one service.
+  /// Returns the load of this host's own requests at the given endpoints.
   std::vector<EndpointShare> OwnSharesAt(
     const std::vector<ListedEndpoint>& aEndpoints);
 
-  /// Drops what has become old; called now and then.
+  /// Removes expired outlier records; to be called periodically.
   void Sweep();
 
 private:
   struct Shard;
   using SharesByService = std::map<std::string, std::vector<EndpointShare>>;
 
-  void ForgetFormerLife(const ListedEndpoint& aReborn);
+  void ResetRestartedEndpoint(const ListedEndpoint& aRestarted);
   Shard& ShardOf(const std::string& aService);
-  SharesByService ByService(const std::vector<EndpointShare>& aShares);
-  void MakeShards(const SharesByService& aShares);
+  SharesByService GroupByService(const std::vector<EndpointShare>& aShares);
+  void EnsureShards(const SharesByService& aShares);
   bool IsPeerLoadUnknown();
   using Endpoints = std::shared_ptr<const std::vector<ListedEndpoint>>;
 
-  // The usable endpoints of a service in this host's order.
-  struct Order
+  // Caches the usable endpoints of a service in this host's order.
+  struct EndpointOrder
   {
-    std::uint64_t changes_ = 0; // of the directory when it was made
+    std::uint64_t directoryChanges_ = 0; // directory_.Changes() when sorted
     Endpoints endpoints_;
   };
 
-  // With the directory locked.
+  // The caller holds directoryMutex_.
   std::vector<ListedEndpoint> Usable(const std::string& aService) const;
-  Endpoints Ordered(const FleetQuery& aQuery);
+  // Locks directoryMutex_ itself.
+  Endpoints OrderedEndpoints(const FleetQuery& aQuery);
 
   Options options_;
-  std::mutex peersMutex_; // guards what follows
-  PeerVisibility view_;
-  // What was last taken in of a peer.
-  struct PeerWords
+  std::mutex peersMutex_; // guards the members up to directoryMutex_
+  PeerVisibility peerVisibility_;
+  // The sequence numbers of the load messages last accepted from a sender.
+  struct LastPeerMessages
   {
-    std::uint64_t word_ = 0;  // sequence
-    std::uint64_t whole_ = 0; // sequence of the last whole word
+    std::uint64_t latestSequence_ = 0;   // of the latest message
+    std::uint64_t snapshotSequence_ = 0; // of the latest snapshot
   };
-  std::map<std::string, PeerWords> peerWords_;
+  std::map<std::string, LastPeerMessages> lastPeerMessages_; // by zone and host
   ZoneMessageFilter zoneMessageFilter_{ ZoneMessageFilter::Options{} };
   std::mutex directoryMutex_;
-  std::map<std::string, Order> orders_; // by service
+  std::map<std::string, EndpointOrder> endpointOrders_; // by service
   EndpointDirectory directory_;
   std::mutex shardsMutex_; // guards the map; each shard has its own lock
   std::map<std::string, std::unique_ptr<Shard>> shards_; // by service
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-board.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-board.h
@@ -1,4 +1,4 @@
-// What the parts of a host that serves routes know and share.
+// The state that the components of a gateway host share.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_BOARD_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_BOARD_H_
@@ -12,10 +12,10 @@
 // Written by RouteFollower.
 struct RoutesState
 {
-  RouteTable::Ptr table_; // null until the first one arrived
+  RouteTable::Ptr table_; // null until the first table arrives
 };
 
-// Written by GatewayHost at the start and with each change of the settings.
+// Written by GatewayHost at startup and whenever the settings change.
 struct BoundsState
 {
   GatewaySettings bounds_;
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
@@ -1,5 +1,4 @@
-// One running host that serves routes: all its parts, put together in one
-// place.
+// A gateway host, which serves routes: creates and connects all its components.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_HOST_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_GATEWAY_HOST_H_
@@ -29,8 +28,8 @@
 
 namespace gooseberrylift {
 
-// Runs until SIGTERM or SIGINT, then stops in good order; SIGHUP and a changed
-// settings file put new bounds in force:
+// Runs until SIGTERM or SIGINT, then drains and stops. Applies new gateway
+// settings on SIGHUP or when the settings file changes:
 //
 //   GatewayHost host(settings, path);
 //   const Outcome<void> ended = host.Run();
@@ -38,26 +37,26 @@
 {
 public:
   /// @param aSettings with gateway_ set
-  /// @param aPath of the settings file, which is looked at again
+  /// @param aPath of the settings file, which is watched for changes
   GatewayHost(Settings aSettings, std::string aPath);
   ~GatewayHost();
 
-  /// Serves until a planned stop is done.
+  /// Serves until a planned stop is complete.
   /// @return an error when a port can't be listened on
   Outcome<void> Run();
 
 private:
   Outcome<void> Listen();
   Digest OwnDigest();
-  void TakeInPeers(const PeersState& aPeers);
-  bool IsSeed() const; // others are told to come to this host first
+  void ApplyPeers(const PeersState& aPeers);
+  bool IsSeed() const; // other hosts contact seeds first
   std::string AdminAddress() const;
   EndpointLimiter::Parts LimiterParts();
-  StoreFollower::Parts FollowerParts();
-  StoreFollower::Options FollowerOptions() const;
+  StoreFollower::Parts StoreFollowerParts();
+  StoreFollower::Options StoreFollowerOptions() const;
   boost::asio::awaitable<void> StartPeers();
-  void ApplyBounds(const GatewaySettings& aBounds);
-  std::string WhyNotReady();
+  void ApplyGatewaySettings(const GatewaySettings& aGatewaySettings);
+  std::string NotReadyReason();
   std::string StatusText();
   boost::asio::awaitable<void> HandleReady(HttpExchange& aExchange);
   boost::asio::awaitable<void> HandleAdmin(HttpExchange& aExchange);
@@ -66,31 +65,32 @@
 
   Settings settings_;
   boost::asio::io_context context_;
-  // Lives as long as the host: a second signal must not end the process while
-  // it stops.
+  // A member, so that a second signal does not kill the process while it is
+  // stopping.
   boost::asio::signal_set stopSignals_;
   std::minstd_rand random_;
   GatewayBoard board_;
   Metrics metrics_;
   HttpClient client_;      // to endpoints
-  HttpClient storeClient_; // a pool of its own, as each has its time-outs
+  HttpClient storeClient_; // separate clients, since the timeouts differ
   HttpClient peerClient_;
   std::unique_ptr<ObjectStore> store_;
   std::unique_ptr<WireDialect> dialect_;
   EndpointLimiter limiter_;
   Fleet fleet_;
-  ReaderRank rank_;   // among the live hosts, as last heard
-  PeerGroups groups_; // the other hosts, as last heard
+  ReaderRank rank_;       // among the live hosts, as last reported
+  PeerGroups peerGroups_; // of the other hosts, as last reported
   RouteFollower routes_;
   EndpointFollower endpoints_;
-  StoreFollower follower_;
+  StoreFollower storeFollower_;
   SharedRepeatBudget repeats_;
-  std::atomic<bool> peersProven_ = false; // another host may believe keys
+  // Whether another host that is not draining accepts keys.
+  std::atomic<bool> peersHaveProvenKeys_ = false;
   PeerExchange peers_;
   SuspectWatch suspects_;
   PeerDatagrams datagrams_;
-  HeadlineWords headlines_;
-  LoadWords words_;
+  HeadlineWords statusExchange_;
+  LoadWords loadExchange_;
   SettingsWatch settingsWatch_;
   GatewayFront front_;
   HttpServer callerServer_;
--- a/include/gooseberrylift/internal/gooseberrylift-peer-keys.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-keys.h
@@ -1,4 +1,4 @@
-// Gets the key that the hosts share.
+// Obtains the secret key that all hosts of a fleet share.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_KEYS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_KEYS_H_
@@ -11,14 +11,15 @@
 
 namespace gooseberrylift {
 
-/// Reads the hosts' shared key from the store, and writes one where there is
-/// none yet. Whoever can read the store can change the routes as well, so
-/// nothing is lost by its lying there. Tries until it has the key.
+/// Reads the hosts' shared key from the store and creates it if there is none
+/// yet. Retries until it has the key. Storing the key there adds no risk, since
+/// anyone who can read the store can also change the routes.
 ///
-/// The key never changes once it is written, so a reading of any age will do;
-/// that one costs the store little, which counts when hundreds start at once.
-/// @param aStartsFleet whether this host writes a missing key at once; others
-/// leave that to such hosts for a second
+/// The key never changes once it is written, so a possibly stale read suffices.
+/// Such reads are cheap for the store, which matters when hundreds of hosts
+/// start at once.
+/// @param aStartsFleet whether this host creates a missing key at once; other
+/// hosts wait one second for such a host to do so
 boost::asio::awaitable<std::string> ObtainPeerKey(ObjectStore& aStore,
                                                   bool aStartsFleet);
 
--- a/include/gooseberrylift/internal/gooseberrylift-route-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-route-follower.h
@@ -1,4 +1,4 @@
-// Keeps the routes and the directory of endpoints at what the store shows.
+// Keeps the routes and the endpoint directory in sync with the store.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ROUTE_FOLLOWER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ROUTE_FOLLOWER_H_
@@ -17,50 +17,52 @@
 
 namespace gooseberrylift {
 
-// Writes the section routes_. The highest version ever seen stays in force,
-// whatever comes later. Holds the lease that says for how long keys may be
-// believed.
+// Writes the section routes_ of the board. The highest version ever seen stays
+// in force, even if an older one arrives later. Holds the lease that limits how
+// long callers' keys are accepted without a new proof that they were not
+// revoked.
 class RouteFollower
 {
 public:
   RouteFollower(const WireDialect& aDialect, GatewayBoard& aBoard);
 
-  /// Takes in a change of the kind of objects that holds the routes.
+  /// Handles a changed object of the kind that holds the routes.
   void OnEvent(const StoreEvent& aEvent);
 
-  /// Notes that the routes show all changes from before a time.
-  void OnProof(BootTime aBegan);
+  /// Renews the lease: the routes include all changes made before aReadStart.
+  void OnProof(BootTime aReadStart);
 
-  /// Says whether a caller's key may be believed now.
+  /// Returns whether callers' keys may be accepted now; always true unless
+  /// strict revocation is configured.
   bool KeysAreProven();
 
-  /// Gives the age of the last proof; nothing without one.
+  /// Returns the age of the last proof, or nothing if there is none.
   std::optional<std::chrono::milliseconds> ProofAge();
 
 private:
   const WireDialect& dialect_;
   GatewayBoard& board_;
-  std::string refusedVersion_; // of the document that was last refused
-  std::string seenVersion_;    // of the document that was last taken in
-  std::mutex leaseMutex_;      // guards what follows
+  std::string rejectedVersion_; // of the last invalid document
+  std::string decodedVersion_;  // of the last valid document
+  std::mutex leaseMutex_;       // guards the members below
   FreshnessLease lease_{ FreshnessLease::Options{} };
-  bool proven_ = false; // as last logged
+  bool loggedProven_ = false;
 };
 
-// Feeds the fleet's directory.
+// Applies endpoint and evacuation objects to the fleet's directory.
 class EndpointFollower
 {
 public:
   EndpointFollower(const WireDialect& aDialect, Fleet& aFleet);
 
-  /// Takes in a change of an endpoint's entry.
+  /// Handles a changed or deleted endpoint entry.
   void OnEvent(const StoreEvent& aEvent);
 
   /// Handles the start or the end of an availability zone's evacuation.
   void OnEvacuation(const StoreEvent& aEvent);
 
-  /// Notes that the store was away for a while: entries that are missing now
-  /// may have lapsed though their endpoints live.
+  /// Handles the end of a store outage: entries that are missing now may have
+  /// expired although their endpoints are alive.
   void OnStoreReturned();
 
 private:
@@ -68,7 +70,8 @@
 
   const WireDialect& dialect_;
   Fleet& fleet_;
-  std::map<std::string, std::string> refused_; // versions, by entry
+  std::map<std::string, std::string>
+    rejectedVersions_; // versions of invalid entries, by name
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-settings-watch.h
+++ b/include/gooseberrylift/internal/gooseberrylift-settings-watch.h
@@ -1,4 +1,4 @@
-// Reads a host's settings again when they change.
+// Reloads a gateway host's settings when they change.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SETTINGS_WATCH_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SETTINGS_WATCH_H_
@@ -14,8 +14,8 @@
 
 namespace gooseberrylift {
 
-// Of a host that serves routes. SIGHUP says that the file has changed, but it
-// may also change without a signal. Settings that are not valid change nothing.
+// Reloads the settings file on SIGHUP and when its modification time changes,
+// which may happen without a signal. Invalid settings are logged and ignored.
 class SettingsWatch
 {
 public:
@@ -23,13 +23,13 @@
   {
     boost::asio::any_io_executor executor_;
     std::string path_; // of the settings file
-    // Takes the new bounds.
-    std::function<void(const GatewaySettings& aBounds)> apply_;
+    // Applies the new settings.
+    std::function<void(const GatewaySettings& aGatewaySettings)> apply_;
   };
 
   explicit SettingsWatch(Parts aParts);
 
-  /// Begins to watch the file and to wait for signals.
+  /// Starts to watch the file and to wait for signals.
   void Start();
 
 private:
@@ -38,7 +38,7 @@
   void Reload();
 
   Parts parts_;
-  // Lives as long as the host: without it SIGHUP would end the process.
+  // A member, since without a handler SIGHUP would terminate the process.
   boost::asio::signal_set hangupSignals_;
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-store-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store-follower.h
@@ -1,5 +1,5 @@
-// Keeps this host at what the platform's store shows, mostly by what other
-// hosts have read there.
+// Keeps this host in sync with the platform's store, mostly with data that
+// other hosts have read there.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_FOLLOWER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_FOLLOWER_H_
@@ -22,29 +22,31 @@
 namespace gooseberrylift {
 
 // Follows three kinds of objects: routes, endpoints and evacuations of
-// availability zones. Each exchange between two hosts carries a headline of
-// what each knows; who lacks something fetches it from the other. So what one
-// host read reaches all in a few exchanges, and StoreReadSchedule sees to it
-// that one host reads.
+// availability zones. Each exchange between two hosts carries the revisions
+// that each of them has; a host that is behind fetches the difference from the
+// other. Data that one host has read thus reaches all hosts in a few exchanges,
+// and StoreReadSchedule ensures that one host reads.
 //
 // Reading: the routes are listed each time, since only a linearizable read
-// proves that no key was taken away. The store counts all its changes in one
-// number, which the answer bears: the endpoints are listed when it has moved.
+// proves that no key was revoked. The store has one revision number for all its
+// changes, which the answer contains: the endpoints are listed when it has
+// changed.
 // A starting host first reads lists of any age, which cost less, and learns of
 // later changes from other hosts. It serves their routes only with a proof:
 // from another host, or from its own linearizable read. That read is delayed at
 // random so that the hosts of a fleet that starts at once do not all read.
-// Watches are not used. One that is mute looks like a store without changes,
-// and each costs as much as a list.
+// Watches are not used: one that silently stopped looks like a store without
+// changes, and each costs as much as a list.
 //
-// Why a proof may be passed on: the teller says how old its proof was when it
-// answered, and the asker takes that age from the time at which it asked. The
-// answer was made after the question, so the proof is in truth younger than
-// that. No clocks are compared, only spans on clocks that count suspension; a
-// host that stands still, or an answer that comes late, shortens the lease. A
-// proof that comes unasked has no such bound and is not believed.
+// Why a proof may be passed on: the responder sends the age of its proof at the
+// time of the response, and the requester subtracts that age from the time of
+// its request. The response was created after the request, so the proof is in
+// fact younger than computed. Clocks of different hosts are never compared;
+// only durations are, on clocks that also advance while a machine is suspended.
+// A paused host or a late response only shortens the lease. A proof that
+// arrives unrequested has no such bound and is ignored.
 //
-// All of it runs on one executor, to which its owner's calls belong too.
+// Everything runs on one executor, on which the owner must make its calls too.
 class StoreFollower
 {
 public:
@@ -52,25 +54,27 @@
   {
     ObjectStore& store_;
     boost::asio::any_io_executor executor_;
-    // Calls another host; its Answer is the result.
+    // Calls Answer on another host and returns the result.
     std::function<boost::asio::awaitable<Outcome<nlohmann::json>>(
       PeerMember aPeer,
       nlohmann::json aParams,
       TimePoint aDeadline)>
       call_;
-    // One change of a kind.
+    // Called for each changed or deleted object of a kind.
     std::function<void(const StoreEvent& aEvent)> onRoutes_;
     std::function<void(const StoreEvent& aEvent)> onEndpoint_;
     std::function<void(const StoreEvent& aEvent)> onEvacuation_;
-    // The routes taken in show all changes from before that time.
-    std::function<void(BootTime aBegan)> onProof_;
-    // This host's own tries to read the store fail, or succeed again.
-    std::function<void(bool aReachable)> onStore_;
-    // Nobody had read the store for a while, and now it was read again.
-    std::function<void()> onReturned_;
-    // This host read something new.
-    std::function<void()> onNews_;
-    // Where this host stands among the live ones.
+    // Called when the applied routes include all changes made before that time.
+    std::function<void(BootTime aReadStart)> onProof_;
+    // Called when this host's own reads of the store begin to fail, or succeed
+    // again.
+    std::function<void(bool aReachable)> onReachabilityChanged_;
+    // Called after a store outage, when this or another host has read the store
+    // again, before the new data is applied.
+    std::function<void()> onStoreReturned_;
+    // Called when this host has read a change from the store.
+    std::function<void()> onNewData_;
+    // Returns this host's rank among the live hosts.
     std::function<ReaderRank()> rank_;
   };
 
@@ -79,19 +83,21 @@
     std::string routesKind_;
     std::string endpointsKind_;
     std::string evacuationsKind_; // empty if not followed
-    // A store in good order answers in a few ms, one that is slow by a factor
-    // of sixty in a quarter of a second. What takes longer is lost.
+    // Of one read of the store. A healthy store answers in a few ms, and one
+    // that is sixty times slower in a quarter of a second. Slower calls count
+    // as failed.
     std::chrono::milliseconds callTimeout_{ 500 };
-    // A host answers within some ms; one that does not is gone, and another one
-    // has the news as well.
+    // Of a call to another host. A host answers within a few ms; one that does
+    // not is considered down, and another host has the same data.
     std::chrono::milliseconds peerTimeout_{ 400 };
-    // Between two proofs. Endpoints list themselves each 1.2 s and lapse after
-    // three times that; with a fleet's readers no gap is as long unless the
-    // store was away, and then what is missing may only have lapsed.
-    std::chrono::milliseconds outage_{ 2'500 };
-    // An answer beyond it is not passed on: on the narrowest links of hosts, 20
-    // Mbit/s, it takes 0.1 s.
-    std::size_t mostBytes_ = 256 * 1024;
+    // A longer gap between two proofs counts as a store outage. Endpoints renew
+    // their entries every 1.2 s, and these expire after three times that. The
+    // readers of a fleet leave no such gap unless the store was unavailable; a
+    // missing entry may then merely have expired.
+    std::chrono::milliseconds outageThreshold_{ 2'500 };
+    // A larger answer is not sent to other hosts. On the slowest links between
+    // hosts, 20 Mbit/s, an answer of this size takes 0.1 s.
+    std::size_t maxAnswerBytes_ = 256 * 1024;
     // Whether other hosts may be available to report changes.
     bool hasPeers_ = false;
     // Upper limit of the random delay before a starting host's own linearizable
@@ -101,33 +107,35 @@
     // How long after a list of any age this host relies on others for endpoint
     // changes instead of listing the endpoints again.
     std::chrono::milliseconds peerUpdateWait_{ 1'000 };
-    StoreReadSchedule::Options turn_{};
+    StoreReadSchedule::Options readSchedule_{};
   };
 
   StoreFollower(Parts aParts, Options aOptions);
 
-  /// Follows until cancelled.
+  /// Follows the store until cancelled.
   boost::asio::awaitable<void> Run();
 
-  /// Gives what an exchange with another host is to carry.
-  StoreStatus Headline() const;
+  /// Returns the revisions and proof age to send to other hosts.
+  StoreStatus CurrentStatus() const;
 
-  /// Takes in another host's headline.
-  /// @param aAsked when the question was sent that it answers; nothing when it
-  /// came with a question of the other host
-  void OnHeadline(const PeerMember& aPeer,
-                  const StoreStatus& aHeadline,
-                  std::optional<BootTime> aAsked);
+  /// Handles another host's status and fetches what this host lacks.
+  /// @param aRequestTime when this host sent the request that the status
+  /// answers; nothing if the status came with a request of the other host
+  void OnPeerStatus(const PeerMember& aPeer,
+                    const StoreStatus& aStatus,
+                    std::optional<BootTime> aRequestTime);
 
-  /// Makes a host without a proof read at once, for a request that waits.
+  /// Cancels the delay of the first read if there is no proof yet, since a
+  /// caller is waiting for it.
   /// @return whether the first proof is still missing
   bool ExpediteFirstProof();
 
-  /// Answers another host's question for what it lacks.
+  /// Returns the objects that another host lacks, given its revisions. The
+  /// result is empty if it would exceed maxAnswerBytes_.
   nlohmann::json Answer(const nlohmann::json& aParams) const;
 
-  /// Says whether this host's last try to read the store failed.
-  bool IsStoreUnavailable() const { return turn_.IsStoreUnavailable(); }
+  /// Returns whether this host's last read of the store failed.
+  bool IsStoreUnavailable() const { return readSchedule_.IsStoreUnavailable(); }
 
 private:
   boost::asio::awaitable<void> Read();
@@ -137,18 +145,18 @@
   boost::asio::awaitable<bool> ReadChanges();
   bool FollowsEvacuations() const { return !options_.evacuationsKind_.empty(); }
   boost::asio::awaitable<void> Fetch(PeerMember aPeer);
-  void TakeInList(const std::string& aKind, StoreView& aView, StoreList aList);
-  nlohmann::json Question() const;
-  void TakeIn(const nlohmann::json& aAnswer, BootTime aAsked);
-  void Publish(const std::string& aKind, const ViewUpdate& aNews);
-  void OnProof(BootTime aBegan);
-  void NoteGap(BootTime aBegan);
-  void NoteReading(bool aReads);
+  void ApplyList(const std::string& aKind, StoreView& aView, StoreList aList);
+  nlohmann::json FetchParams() const;
+  void ApplyAnswer(const nlohmann::json& aAnswer, BootTime aRequestTime);
+  void Publish(const std::string& aKind, const ViewUpdate& aUpdate);
+  void OnProof(BootTime aReadStart);
+  void DetectOutage(BootTime aReadStart);
+  void LogReaderRole(bool aIsReader);
   std::optional<std::chrono::milliseconds> ProofAge() const;
 
   Parts parts_;
   Options options_;
-  StoreReadSchedule turn_;
+  StoreReadSchedule readSchedule_;
   StoreView routes_{ StoreView::Options{} };
   StoreView endpoints_{ StoreView::Options{} };
   StoreView evacuations_{ StoreView::Options{} };
@@ -156,7 +164,7 @@
   ViewUpdate unprovenRoutes_; // from a list of any age, not published yet
   std::optional<TimePoint> anyAgeReadAt_;
   bool fetching_ = false;
-  bool reads_ = false; // as last logged
+  bool isReader_ = false; // as last logged
 };
 
 } // namespace gooseberrylift
