--- a/include/gooseberrylift/internal/gooseberrylift-blackboard.h
+++ b/include/gooseberrylift/internal/gooseberrylift-blackboard.h
@@ -1,6 +1,6 @@
-// What the parts of a host know and share. Each section has one writer; any
-// controller reads it. A reader gets an immutable snapshot, so no lock is held
-// while it works.
+// State shared by the components of a host. Each section has one writer and any
+// number of readers. Readers get an immutable snapshot, so they hold no lock
+// while using it.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_BLACKBOARD_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_BLACKBOARD_H_
@@ -17,8 +17,8 @@
 
 namespace gooseberrylift {
 
-// One typed section. Subscribers are called after each write, on the writer's
-// thread and without a lock; they must be quick.
+// A typed section. Subscribers are called after each write, on the writer's
+// thread and without a lock held; they must not block.
 template<typename Value>
 class BlackboardSection
 {
@@ -26,14 +26,14 @@
   using Snapshot = std::shared_ptr<const Value>;
   using Subscriber = std::function<void(const Snapshot& aSnapshot)>;
 
-  /// Gives the latest snapshot; never null.
+  /// Returns the latest snapshot; never null.
   Snapshot Read() const
   {
     const std::lock_guard lock(mutex_);
     return value_;
   }
 
-  /// Replaces the contents and tells the subscribers.
+  /// Replaces the contents and notifies the subscribers.
   void Write(Value aValue)
   {
     auto snapshot = std::make_shared<const Value>(std::move(aValue));
@@ -48,7 +48,7 @@
     }
   }
 
-  /// Adds a subscriber, for as long as the section lives.
+  /// Adds a subscriber for the lifetime of the section.
   void Subscribe(Subscriber aSubscriber)
   {
     const std::lock_guard lock(mutex_);
@@ -64,14 +64,14 @@
 // Written by ConfigFollower.
 struct ConfigurationState
 {
-  Configuration::Ptr configuration_; // null until the first one arrived
+  Configuration::Ptr configuration_; // null until one is received
 };
 
 // Written by ConfigFollower.
 struct StoreState
 {
   bool reachable_ = false;
-  TimePoint since_{}; // of the last change of reachable_
+  TimePoint since_{}; // time of the last change of reachable_
 };
 
 // Written by EndpointTracker.
@@ -93,13 +93,13 @@
   std::size_t known_ = 0; // other hosts of the fleet, live or not
 };
 
-// Written by the quarantine controller: this host's own and learnt entries.
+// Written by the quarantine controller: entries of this host and of peers.
 struct QuarantineState
 {
   std::vector<QuarantineEntry> entries_;
 };
 
-// Written by PoolBroker: what teams ask of this host.
+// Written by PoolBroker: the demand of teams on this host.
 struct DemandState
 {
   std::vector<TeamDemand> demand_;
--- a/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
+++ b/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
@@ -1,4 +1,4 @@
-// Records ended requests for the burn report of this host.
+// Records finished requests for this host's report of error budget burn.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_BURN_RECORDER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_BURN_RECORDER_H_
@@ -13,8 +13,9 @@
 
 namespace gooseberrylift {
 
-// Shards by team and service, each ledger under its own lock, so that a series
-// lives in one shard and the memory bound holds. Safe from any thread.
+// Sharded by team and service, each shard with its own lock. All samples of a
+// series are in one shard, so the memory limit of BurnCounters holds.
+// Thread-safe.
 class BurnRecorder
 {
 public:
@@ -27,26 +28,26 @@
 
   explicit BurnRecorder(Parts aParts);
 
-  /// Counts one ended request, if its service has an objective and its end is
-  /// not the caller's own doing.
-  /// @param aService the service as the configuration has it
+  /// Counts a finished request, if its service has an objective and its result
+  /// is not an error of the caller.
+  /// @param aService the service's configuration
   /// @param aSample the request; succeeded_ is set here
-  /// @param aCode how it ended
+  /// @param aCode the request's result code
   void Record(const ServiceConfig& aService,
               BurnSample aSample,
               ResultCode aCode);
 
-  /// Gives this host's counts.
+  /// Returns this host's counts.
   BurnDocument Document() const;
 
-  /// Adds GET /report/burn to the admin port.
+  /// Adds the route GET /report/burn to the admin port.
   void AddRoutes(AdminFront& aFront);
 
 private:
   struct Shard
   {
     mutable std::mutex mutex_;
-    BurnCounters ledger_{ BurnCounters::Options{} };
+    BurnCounters counters_{ BurnCounters::Options{} };
   };
 
   Parts parts_;
--- a/include/gooseberrylift/internal/gooseberrylift-config-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-follower.h
@@ -1,5 +1,5 @@
-// Keeps the blackboard's configuration at the highest generation that the
-// object store shows.
+// Keeps the blackboard's configuration at the highest generation that was
+// received from the store, peers or operators.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_FOLLOWER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_FOLLOWER_H_
@@ -14,55 +14,58 @@
 
 namespace gooseberrylift {
 
-// The one object that holds the operators' configuration.
+// The object that stores the operators' configuration.
 constexpr const char* kConfigurationKind = "configurations";
 constexpr const char* kConfigurationName = "main";
 
-// Where a configuration came from.
+// The origin of a configuration.
 enum class ConfigSource
 {
   kStore,
   kPeer,
-  kOperator // accepted by this host itself
+  kOperator // accepted by this host
 };
 
-// Writes the sections configuration_ and store_; reads peers_. Three ways lead
-// to a new configuration, so that the loss of one delays nobody: a watch, which
-// few hosts of a zone hold, since the store counts each; a poll, whose period
-// grows with the number of hosts, so that the whole fleet's polls stay at a
-// fixed rate; and peers, who offer what they have. A watch that breaks is begun
-// again after a pause with jitter.
+// Writes the sections configuration_ and store_; reads peers_. A new
+// configuration arrives in three ways, so that the loss of one causes no delay:
+// a watch on the store, held by a few hosts of each zone because each watch
+// adds load to the store; a poll, whose period grows with the number of hosts
+// so that the fleet polls at a fixed rate; and peers that have a newer
+// configuration. A broken watch is restarted after a delay with jitter.
 class ConfigFollower
 {
 public:
   struct Options
   {
     std::chrono::milliseconds callTimeout_{ 2000 };
-    std::chrono::milliseconds watchFor_{ 60'000 };
-    std::chrono::milliseconds pause_{ 250 };
+    std::chrono::milliseconds watchTimeout_{ 60'000 };
+    std::chrono::milliseconds reconnectDelay_{ 250 };
     std::string host_;
     std::string zone_;
-    // Two would do to lose one; a third covers a restart meanwhile.
+    // Two tolerate the loss of one host; the third covers a restart at the same
+    // time.
     std::size_t watchersPerZone_ = 3;
-    std::chrono::milliseconds pollPeriod_{ 1000 }; // of a small fleet
-    std::int64_t pollsPerSecond_ = 10;             // of the whole fleet
+    // Minimum, used in a small fleet.
+    std::chrono::milliseconds pollPeriod_{ 1000 };
+    // By all hosts together.
+    std::int64_t pollsPerSecond_ = 10;
     std::uint64_t seed_ = 0;
   };
 
   ConfigFollower(ObjectStore& aStore, Blackboard& aBoard, Options aOptions);
 
-  /// Follows until cancelled.
+  /// Reads and watches the store until cancelled.
   boost::asio::awaitable<void> Run();
 
-  /// Polls until cancelled, beside Run.
+  /// Polls the store until cancelled, concurrently with Run.
   boost::asio::awaitable<void> Poll();
 
-  /// Puts a configuration in force if its generation is higher than the
-  /// present one's, from whatever source it came.
+  /// Applies a configuration, from any source, if its generation is higher than
+  /// the current one.
   /// @return true when it was applied
-  bool Offer(const StoreObject& aObject);
+  bool ApplyIfNewer(const StoreObject& aObject);
 
-  /// The same for a text that did not come as an object.
+  /// The same for a serialized configuration instead of a stored object.
   bool OfferText(std::uint64_t aGeneration,
                  const std::string& aText,
                  ConfigSource aSource);
@@ -75,15 +78,16 @@
   bool Apply(std::uint64_t aGeneration,
              const std::string& aText,
              ConfigSource aSource);
-  void NoteOlder(std::uint64_t aGeneration);
-  void NoteStore(bool aReachable);
+  void ReportOlderGeneration(std::uint64_t aGeneration);
+  void UpdateStoreState(bool aReachable);
 
   ObjectStore& store_;
   Blackboard& board_;
   Options options_;
-  std::uint64_t alarmed_ = 0; // the older generation last alarmed
-  std::mutex mutex_; // one offer at a time, so that a generation never falls
-  std::mutex storeMutex_; // guards random_, orders the writes of store_
+  std::uint64_t lastOlderReported_ = 0; // the older generation reported last
+  // Serializes updates, so that the generation never decreases.
+  std::mutex mutex_;
+  std::mutex storeMutex_; // guards random_, serializes writes of store_
   std::mt19937_64 random_;
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-tracker.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-tracker.h
@@ -1,5 +1,5 @@
-// Polls the host list and the endpoints' load reports and keeps the
-// blackboard's section of endpoints.
+// Polls the host list and the load reports of endpoints, and maintains the
+// endpoints_ section of the blackboard.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_TRACKER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_TRACKER_H_
@@ -16,18 +16,17 @@
 
 namespace gooseberrylift {
 
-// Writes the section endpoints_; reads peers_. Safe to use from several
-// threads.
+// Writes the section endpoints_; reads peers_. Thread-safe.
 class EndpointTracker
 {
 public:
   struct Options
   {
-    std::string listAddress_; // IP:port of the host list
+    std::string listAddress_; // IP:port of the server of the host list
     std::chrono::milliseconds listPoll_{ 1000 };
     std::chrono::milliseconds loadPoll_{ 250 };
-    // Of one poll. Three failed polls with the pauses between them must fit
-    // into 2 s also for an endpoint that hangs: 3 * (350 + 250) ms.
+    // Timeout of one load poll. Three failed polls and the delays between them
+    // must take less than 2 s even if the endpoint hangs: 3 * (350 + 250) ms.
     std::chrono::milliseconds timeout_{ 350 };
   };
 
@@ -36,16 +35,17 @@
                   Blackboard& aBoard,
                   Options aOptions);
 
-  /// Takes in what peers say of the endpoints, until the board goes.
+  /// Subscribes to the endpoint states that peers report, for the lifetime of
+  /// the blackboard.
   void FollowPeers();
 
-  /// Polls until cancelled.
+  /// Polls the host list and the endpoints until cancelled.
   boost::asio::awaitable<void> Run();
 
-  /// Notes that a request met an endpoint that can't be reached.
+  /// Records that a request could not reach an endpoint.
   void ReportFailure(const std::string& aEndpoint);
 
-  /// Notes that an endpoint refused a request because it is leaving.
+  /// Records that an endpoint announced in a response that it is leaving.
   void ReportLeaving(const std::string& aEndpoint);
 
 private:
@@ -59,12 +59,14 @@
   boost::asio::any_io_executor executor_;
   Blackboard& board_;
   Options options_;
-  std::mutex mutex_; // guards book_, polling_, dirty_
-  EndpointRegistry book_;
-  std::atomic<bool> listLost_ = false; // said once, not at every poll
-  std::set<std::string> polling_; // a slow endpoint gets one poll at a time
+  std::mutex mutex_; // guards registry_, polling_, dirty_
+  EndpointRegistry registry_;
+  // Set while the host list is unavailable, so that this is logged once.
+  std::atomic<bool> listUnavailable_ = false;
+  // Endpoints with a poll in flight, at most one each.
+  std::set<std::string> polling_;
   bool dirty_ = false;
-  std::mutex publishMutex_; // snapshots are written in their order
+  std::mutex publishMutex_; // keeps snapshots in order
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-failed-attempt.h
+++ b/include/gooseberrylift/internal/gooseberrylift-failed-attempt.h
@@ -1,4 +1,4 @@
-// How an attempt that an endpoint failed shows to operators.
+// Reports failed attempts at endpoints in the metrics and the log.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FAILED_ATTEMPT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FAILED_ATTEMPT_H_
@@ -10,11 +10,11 @@
 
 namespace gooseberrylift {
 
-/// Counts and logs an attempt that an endpoint failed.
-void NoteFailedAttempt(Metrics& aMetrics,
-                       const std::string& aRequestId,
-                       const std::string& aEndpoint,
-                       const Error& aError);
+/// Counts and logs a failed attempt at an endpoint.
+void ReportFailedAttempt(Metrics& aMetrics,
+                         const std::string& aRequestId,
+                         const std::string& aEndpoint,
+                         const Error& aError);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/internal/gooseberrylift-job-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-runner.h
@@ -1,5 +1,5 @@
-// Runs jobs: follows them in the store, claims them under a lease, generates
-// and stores the result.
+// Runs asynchronous jobs: watches the store for them, claims each under a
+// lease, runs its generation and stores the result.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_RUNNER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_RUNNER_H_
@@ -18,23 +18,24 @@
 
 namespace gooseberrylift {
 
-// Every host runs one. A job is run again by another host when its holder's
-// lease lapsed; of several holders only one can store the end, since each does
-// so by conditional update. Safe from any thread.
+// Every host runs one instance. When the lease of a job expires, another host
+// may claim the job and run it again. Results are stored by conditional update,
+// so only one of several holders can finish a job. Thread-safe.
 class JobRunner
 {
 public:
   struct Options
   {
-    std::size_t maxRunning_ = 16; // jobs at once on this host
+    std::size_t maxRunning_ = 16; // concurrent jobs on this host
     std::chrono::milliseconds lease_{ 15'000 };
-    int maxClaims_ = 8;   // hosts that begin a job before it fails
-    int maxFailures_ = 2; // failed generations, each of several engines
-    std::chrono::milliseconds pick_{ 50 };
-    std::chrono::milliseconds retry_{ 500 }; // after a refusal or failure
+    int maxClaims_ = 8;   // claims of one job before it fails
+    int maxFailures_ = 2; // failed generations, each tried on several engines
+    std::chrono::milliseconds pollInterval_{ 50 };
+    // After a rejected or failed generation.
+    std::chrono::milliseconds retryInterval_{ 500 };
     std::chrono::milliseconds callTimeout_{ 2000 };
-    std::chrono::milliseconds watchFor_{ 60'000 };
-    std::chrono::milliseconds sweep_{ 10'000 };
+    std::chrono::milliseconds watchTimeout_{ 60'000 };
+    std::chrono::milliseconds sweepInterval_{ 10'000 };
     std::chrono::milliseconds attemptLimit_{ 3'600'000 };
   };
 
@@ -44,33 +45,35 @@
             boost::asio::any_io_executor aExecutor,
             Options aOptions);
 
-  /// Follows, claims and sweeps until cancelled; each in its own coroutine.
+  /// Starts the watch, claim and clean-up loops, each as its own coroutine that
+  /// runs until it is cancelled.
   void Start();
 
-  /// Says whether a team may add a job.
+  /// Returns whether the team is below its limit of jobs.
   bool HasRoom(const std::string& aTeam) const;
 
 private:
   struct Claim;
-  boost::asio::awaitable<void> Follow();
+  boost::asio::awaitable<void> FollowJobs();
   boost::asio::awaitable<bool> ListAndWatch();
-  boost::asio::awaitable<void> PickLoop();
+  boost::asio::awaitable<void> ClaimLoop();
   boost::asio::awaitable<void> SweepLoop();
-  void Note(const StoreObject& aObject);
-  void PickOne();
+  void OnJobChanged(const StoreObject& aObject);
+  void StartNextJob();
   boost::asio::awaitable<void> RunJob(std::string aId);
   boost::asio::awaitable<std::shared_ptr<Claim>> TakeClaim(std::string aId);
-  boost::asio::awaitable<void> Renew(std::shared_ptr<Claim> aClaim);
-  boost::asio::awaitable<void> Work(std::shared_ptr<Claim> aClaim);
+  boost::asio::awaitable<void> RenewLease(std::shared_ptr<Claim> aClaim);
+  boost::asio::awaitable<void> RunClaimed(std::shared_ptr<Claim> aClaim);
   boost::asio::awaitable<Outcome<std::string>> Generate(
     std::shared_ptr<Claim> aClaim);
   boost::asio::awaitable<Outcome<std::string>> GenerateOnce(
     std::shared_ptr<Claim> aClaim,
     std::string aRequest);
-  boost::asio::awaitable<void> End(std::shared_ptr<Claim> aClaim,
-                                   Outcome<std::string> aResult);
-  boost::asio::awaitable<Outcome<void>> WriteEnd(std::shared_ptr<Claim> aClaim,
-                                                 Outcome<std::string> aResult);
+  boost::asio::awaitable<void> FinishJob(std::shared_ptr<Claim> aClaim,
+                                         Outcome<std::string> aResult);
+  boost::asio::awaitable<Outcome<void>> WriteOutcome(
+    std::shared_ptr<Claim> aClaim,
+    Outcome<std::string> aResult);
 
   ObjectStore& objects_;
   JobStore store_;
--- a/include/gooseberrylift/internal/gooseberrylift-log.h
+++ b/include/gooseberrylift/internal/gooseberrylift-log.h
@@ -1,5 +1,5 @@
-// Numbered log events, one JSON object a line on standard output. The catalogue
-// is docs/LOG-EVENTS.md.
+// Structured logging: numbered events, written to standard output as one JSON
+// object per line. docs/LOG-EVENTS.md lists the events.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOG_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOG_H_
@@ -20,7 +20,7 @@
   kError
 };
 
-// Ranges follow the components: 1000 host, 1100 configuration and store, 1200
+// Number ranges by component: 1000 host, 1100 configuration and store, 1200
 // endpoints, 1300 callers' requests, 1400 decisions, 1500 at-most-once calls
 // and jobs, 1600 peers, 1700 engine orders, 1800 reports.
 enum class LogEvent
@@ -61,7 +61,7 @@
   kPeerWordsFailed = 1601,
 };
 
-// One row of the catalogue.
+// Description of a log event.
 struct LogEventInfo
 {
   LogEvent event_;
@@ -70,42 +70,43 @@
   std::string_view meaning_;
 };
 
-/// Lists every event once, in rising order of its number.
+/// Returns all events in ascending order of their numbers.
 std::span<const LogEventInfo> AllLogEvents();
 
-/// Prepares logging and sets the lowest level that is written.
+/// Initializes logging and sets the minimum level of all components.
 /// @param aLevel "debug", "info", "warning" or "error"
-/// @param aHost the host's name, written with each event
+/// @param aHost the host's name, added to each event
 void StartLogging(std::string_view aLevel, std::string aHost);
 
-// What a group of a hundred event numbers belongs to.
+// A component, which owns a range of 100 event numbers.
 struct LogComponent
 {
   int hundreds_; // 10 for the events from 1000 to 1099
   std::string_view name_;
 };
 
-/// Lists the components in rising order of their events.
+/// Returns all components in ascending order of their event numbers.
 std::span<const LogComponent> AllLogComponents();
 
-/// Sets the lowest level that is written, while running.
+/// Changes the minimum level at runtime.
 /// @param aComponent a component's name, or "all"
 /// @param aLevel "debug", "info", "warning" or "error"
-/// @return false when there is no such component or level
+/// @return false if the component or level is unknown
 bool SetLogLevel(std::string_view aComponent, std::string_view aLevel);
 
-/// Gives the lowest level that a component writes, by name.
+/// Returns the name of a component's minimum level.
 std::string_view LogLevelOf(const LogComponent& aComponent);
 
-/// Gives a level's name.
+/// Returns the name of a level.
 std::string_view NameOf(LogLevel aLevel);
 
-/// Writes one event, unless its component's level or its rate forbids it. The
-/// next one written of the same number then has the field "left_out". A line
-/// that the reader of standard output has no room for is dropped, and the next
-/// one written has the field "unwritten".
-/// @param aEvent which
-/// @param aFields an object with what is particular to this occurrence
+/// Writes an event, unless it is below its component's minimum level or over
+/// its rate limit. The field "left_out" of the next event with the same number
+/// counts those suppressed by the rate limit. A line is dropped if the reader
+/// of standard output is too slow; the field "unwritten" of the next line
+/// counts the dropped lines.
+/// @param aEvent the event
+/// @param aFields a JSON object with the fields of this occurrence
 void Log(LogEvent aEvent, nlohmann::json aFields = nlohmann::json::object());
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-metrics.h
+++ b/include/gooseberrylift/internal/gooseberrylift-metrics.h
@@ -1,5 +1,5 @@
-// Counters and histograms of one host, in Prometheus text. The histograms are
-// Boost.Histogram's; docs/METRICS.md says what each means.
+// Counters and histograms of one host, exported in the Prometheus text format.
+// Histograms use Boost.Histogram. docs/METRICS.md describes each metric.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_METRICS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_METRICS_H_
@@ -15,8 +15,8 @@
 
 namespace gooseberrylift {
 
-// State is split into shards by thread, each under its own lock, and merged
-// when it is read. Safe to use from any thread.
+// State is sharded by thread, each shard with its own lock, and merged on read.
+// Thread-safe.
 class Metrics
 {
 public:
@@ -27,25 +27,25 @@
 
   /// Records the time to first token of one request.
   /// @param aService the service's name
-  /// @param aPromptTokens the prompt's length, which selects the band
+  /// @param aPromptTokens the prompt's length, which selects the prompt band
   /// @param aTime from the request's arrival to its first token
   void RecordFirstToken(std::string_view aService,
                         std::uint64_t aPromptTokens,
                         std::chrono::microseconds aTime);
 
-  /// Adds one to a counter.
+  /// Increments a counter.
   /// @param aName the metric's name
-  /// @param aLabel its one label as it stands in the text, such as
-  /// code="63"; may be empty
+  /// @param aLabel the counter's label in exposition format, such as code="63";
+  /// may be empty
   void Count(std::string_view aName, std::string_view aLabel = {});
 
-  /// Gives a counter's values by label.
+  /// Returns a counter's values by label.
   std::map<std::string, std::uint64_t> Counts(const std::string& aName) const;
 
-  /// Gives the times to first token since the start, of all shards.
+  /// Returns the times to first token since the start, merged over all shards.
   FirstTokenHistogram FirstTokens() const;
 
-  /// Gives all metrics in Prometheus text.
+  /// Returns all metrics in the Prometheus text format.
   std::string Text() const;
 
 private:
--- a/include/gooseberrylift/internal/gooseberrylift-model-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-runner.h
@@ -1,6 +1,6 @@
-// Runs one generation on the engines of a pool: takes a place, sends the
-// request, passes tokens on one by one, and goes on elsewhere from the last
-// token when an engine fails.
+// Runs a generation on the engines of a pool: acquires a slot, sends the
+// request and forwards its tokens. When an engine fails, the generation resumes
+// on another engine after the last token received.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MODEL_RUNNER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MODEL_RUNNER_H_
@@ -18,19 +18,19 @@
 
 namespace gooseberrylift {
 
-// One generation to run.
+// A request for a generation.
 struct Generation
 {
-  std::string requestId_; // echoed by the engine in each event
+  std::string requestId_; // the engine echoes it in each event
   std::string pool_;
-  std::string target_; // path of the engine's API
+  std::string target_; // path in the engine's API
   RequestInfo info_;
-  nlohmann::json body_; // as the caller sent it; empty when text_ is set
-  std::string text_;    // the same as text, when fields can be added to it
+  nlohmann::json body_; // as received; empty when text_ is set
+  std::string text_;    // the unparsed body, when fields can be appended to it
   TimePoint arrived_;
 };
 
-// One token as an engine sent it.
+// A token as received from an engine.
 struct TokenEvent
 {
   std::uint64_t index_ = 0;
@@ -39,18 +39,18 @@
   std::string_view raw_;     // the event's JSON
 };
 
-// Where the tokens of a generation go, each once and in order.
+// Receives the tokens of a generation, each exactly once and in order.
 class TokenSink
 {
 public:
   virtual ~TokenSink() = default;
 
-  /// Takes the next token.
+  /// Handles the next token.
   /// @return false to end the generation, because nobody reads on
   virtual boost::asio::awaitable<bool> OnToken(const TokenEvent& aToken) = 0;
 
-  /// Says that no further token has arrived yet, so that a sink that gathers
-  /// tokens passes them on now.
+  /// Called when no further token has been received yet, so that a sink that
+  /// buffers tokens can send them.
   /// @return false to end the generation, because nobody reads on
   virtual boost::asio::awaitable<bool> OnPause() { co_return true; }
 };
@@ -62,15 +62,16 @@
   std::chrono::microseconds firstToken_{ 0 };
 };
 
-// Holds no state of its own between generations; safe from any thread.
+// Keeps no state between generations. Thread-safe.
 class ModelRunner
 {
 public:
   struct Options
   {
-    int maxAttempts_ = 3; // engines that may begin one generation
-    int maxEngines_ = 10; // and engines tried, with those that did not
-    std::chrono::milliseconds noEnginePause_{ 250 }; // of a stream under way
+    int maxAttempts_ = 3; // engines that accepted the request
+    int maxEngines_ = 10; // all engines tried, including those that did not
+    // For a stream that has begun.
+    std::chrono::milliseconds noEndpointRetryInterval_{ 250 };
   };
 
   ModelRunner(HttpClient& aClient,
@@ -81,7 +82,7 @@
               Options aOptions);
 
   /// Runs a generation to its end marker.
-  /// @return what came of it, or the error of the last attempt
+  /// @return its statistics, or the error of the last attempt
   boost::asio::awaitable<Outcome<GenerationResult>> Run(Generation aGeneration,
                                                         TokenSink& aSink);
 
@@ -97,11 +98,12 @@
     Placement& aPlacement,
     HttpCall& aCall,
     TokenSink& aSink);
-  boost::asio::awaitable<Outcome<void>> TakeToken(const Generation& aGeneration,
-                                                  Progress& aProgress,
-                                                  Placement& aPlacement,
-                                                  const std::string& aData,
-                                                  TokenSink& aSink);
+  boost::asio::awaitable<Outcome<void>> HandleToken(
+    const Generation& aGeneration,
+    Progress& aProgress,
+    Placement& aPlacement,
+    const std::string& aData,
+    TokenSink& aSink);
 
   HttpClient& client_;
   boost::asio::any_io_executor executor_;
--- a/include/gooseberrylift/internal/gooseberrylift-once-ledger.h
+++ b/include/gooseberrylift/internal/gooseberrylift-once-ledger.h
@@ -1,4 +1,4 @@
-// Runs the group commits of all buckets against the object store.
+// Executes the group commits of all buckets in the object store.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ONCE_LEDGER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ONCE_LEDGER_H_
@@ -19,12 +19,12 @@
 
 constexpr const char* kOnceKind = "oncebuckets";
 
-// All hosts must agree on the bucket of a key, so the number is fixed: a host
-// with another number would look for an intent where it is not.
+// Fixed, because all hosts must map a key to the same bucket: a host with
+// another number would look for an intent in the wrong bucket.
 constexpr std::size_t kOnceBuckets = 16;
 
-// One shard a bucket, each with its own lock; no lock is held across a call to
-// the store. Safe from any thread.
+// Each bucket has a shard with its own lock. No lock is held across a call to
+// the store. Thread-safe.
 class OnceLedger
 {
 public:
@@ -39,15 +39,16 @@
              Options aOptions);
   ~OnceLedger();
 
-  /// Commits an operation together with whatever else waits for its bucket.
-  /// @param aBucket below kOnceBuckets
-  /// @return the reply, at the latest at the operation's deadline
+  /// Commits an operation together with the other operations queued for its
+  /// bucket.
+  /// @param aBucket the index of the bucket, below kOnceBuckets
+  /// @return the reply, by the operation's deadline at the latest
   boost::asio::awaitable<OnceReply> Commit(std::size_t aBucket, OnceOp aOp);
 
-  /// Commits without waiting, as often as the operation's deadline allows.
+  /// Commits asynchronously, with retries until the operation's deadline.
   void Post(std::size_t aBucket, OnceOp aOp);
 
-  /// Says whether no operation is queued or under way.
+  /// Returns whether no operation is queued or in progress.
   bool Idle() const;
 
 private:
--- a/include/gooseberrylift/internal/gooseberrylift-once-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-once-runner.h
@@ -1,5 +1,6 @@
-// Runs calls that may not be repeated: intent in the store, dispatch, outcome
-// in the store; a call sent again gets the recorded outcome.
+// Runs calls with at-most-once semantics. The intent is written to the store
+// before the dispatch and the outcome after it; a duplicate of the call gets
+// the recorded outcome.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ONCE_RUNNER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ONCE_RUNNER_H_
@@ -16,9 +17,9 @@
 
 namespace gooseberrylift {
 
-// Each call runs in a coroutine of its own, so that neither the caller's
-// leaving nor its deadline can cut it between dispatch and record. Safe from
-// any thread:
+// Each call runs in its own coroutine, so that a caller that disconnects or
+// reaches its deadline can't interrupt it between the dispatch and the record
+// of the outcome. Thread-safe:
 //
 //   auto answer = co_await once.Run(call, key);
 class OnceRunner
@@ -26,17 +27,22 @@
 public:
   struct Options
   {
-    std::size_t maxResultBytes_ = 16 * 1024; // a longer answer is not kept
-    std::size_t maxAnswerBytes_ = 16 * 1024 * 1024;
-    std::chrono::milliseconds storeLimit_{ 2000 };   // for writing an intent
-    std::chrono::milliseconds leaseSlack_{ 1000 };   // intent beyond deadline
-    std::chrono::milliseconds recordFor_{ 600'000 }; // retries of an outcome
-    // How long an outcome waits to share a write. It is short beside the time
-    // in which a caller can send again, and a host that dies in it leaves the
-    // call "unknown".
-    std::chrono::milliseconds recordAfter_{ 20 };
-    std::chrono::milliseconds firstPoll_{ 20 }; // of another's outcome
-    std::chrono::milliseconds lastPoll_{ 250 };
+    // Longer responses are not stored.
+    std::size_t maxStoredResultBytes_ = 16 * 1024;
+    std::size_t maxResponseBytes_ = 16 * 1024 * 1024;
+    // For the write of an intent.
+    std::chrono::milliseconds intentTimeout_{ 2000 };
+    // Lease of an intent beyond the call's deadline.
+    std::chrono::milliseconds leaseMargin_{ 1000 };
+    // For retries of the outcome's write.
+    std::chrono::milliseconds recordTimeout_{ 600'000 };
+    // Delay of an outcome's write, so that it can be combined with others. It
+    // is much shorter than the time a caller needs to send a duplicate. If the
+    // host crashes within this delay, the call stays "unknown".
+    std::chrono::milliseconds recordBatchDelay_{ 20 };
+    // For the outcome of another attempt.
+    std::chrono::milliseconds initialPollInterval_{ 20 };
+    std::chrono::milliseconds maxPollInterval_{ 250 };
   };
 
   OnceRunner(ServiceRunner& aServices,
@@ -45,26 +51,27 @@
              Metrics& aMetrics,
              Options aOptions);
 
-  /// Runs a call, or answers for the earlier one with the same key.
-  /// @param aCall the call; its deadline is its info_'s
+  /// Runs a call, or returns the outcome of an earlier call with the same key.
+  /// @param aCall the call, with its deadline in info_
   /// @param aKey the caller's Idempotency-Key
-  /// @return the endpoint's answer, or an error whose ran_ speaks of this
-  /// request: kNo means that it was not and never will be handed on
+  /// @return the endpoint's response, or an error whose ran_ refers to this
+  /// request: kNo means that it was not and never will be dispatched
   boost::asio::awaitable<Outcome<HttpResponse>> Run(ServiceCall aCall,
                                                     std::string aKey);
 
-  /// Says whether no call runs and nothing is left to be recorded.
+  /// Returns whether no call is running and all outcomes are recorded.
   bool Idle() const;
 
 private:
   struct Attempt;
-  boost::asio::awaitable<void> Work(std::shared_ptr<Attempt> aAttempt);
+  boost::asio::awaitable<void> RunAttempt(std::shared_ptr<Attempt> aAttempt);
   boost::asio::awaitable<OnceReply> Claim(std::shared_ptr<Attempt> aAttempt);
   boost::asio::awaitable<Outcome<HttpResponse>> Dispatch(
     std::shared_ptr<Attempt> aAttempt);
-  boost::asio::awaitable<Outcome<HttpResponse>> ReadAnswer(HttpCall& aCall);
-  void Record(const Attempt& aAttempt, const Outcome<HttpResponse>& aOutcome);
-  Outcome<HttpResponse> AnswerOf(const OnceReply& aReply) const;
+  boost::asio::awaitable<Outcome<HttpResponse>> ReadResponse(HttpCall& aCall);
+  void RecordOutcome(const Attempt& aAttempt,
+                     const Outcome<HttpResponse>& aOutcome);
+  Outcome<HttpResponse> ResponseFor(const OnceReply& aReply) const;
 
   ServiceRunner& services_;
   OnceLedger& ledger_;
--- a/include/gooseberrylift/internal/gooseberrylift-op-guard.h
+++ b/include/gooseberrylift/internal/gooseberrylift-op-guard.h
@@ -1,5 +1,5 @@
-// Bounds socket operations in time without closing the socket, so that a
-// server can still say why it gave up.
+// A deadline for socket operations that leaves the socket open, so that a
+// server can still send an error response.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_OP_GUARD_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_OP_GUARD_H_
@@ -13,8 +13,8 @@
 
 namespace gooseberrylift {
 
-// Cancels what a socket awaits when a time comes, while it lives. It must live
-// and die on the socket's strand.
+// Cancels the pending operations of a socket at a deadline, unless it is
+// destroyed first. Must be created and destroyed on the socket's strand.
 class OpGuard
 {
 public:
--- a/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
@@ -1,5 +1,6 @@
-// Finds the other entry hosts through the store and exchanges digests with
-// them, so that hosts hear of one another also while the store is down.
+// Discovers the other entry hosts through the store and exchanges digests with
+// them (a gossip protocol), so that hosts learn of each other even while the
+// store is down.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_EXCHANGE_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_EXCHANGE_H_
@@ -19,18 +20,18 @@
 
 namespace gooseberrylift {
 
-// One object of this kind per availability zone lists its hosts.
+// Kind of the objects that list the hosts, one per availability zone.
 constexpr const char* kMembersKind = "members";
 
-// What a host has in force, as a peer that is behind fetches it.
+// The configuration in force on a host, as fetched by a peer with an older one.
 struct OfferedConfiguration
 {
   std::uint64_t generation_ = 0; // 0 when there is none
   std::string text_;
 };
 
-// Knows nothing of what its host serves: that comes and goes through the
-// functions of Parts. Safe to use from several threads when these are.
+// Independent of what its host serves: all data passes through the functions of
+// Parts. Thread-safe if these functions are.
 //
 //   PeerExchange peers({ ... }, {});
 //   peers.Start(port);          // once the peer port and the keys are known
@@ -43,67 +44,69 @@
     ObjectStore& store_;
     HttpClient& client_;
     boost::asio::any_io_executor executor_;
-    // Gives this host's word of itself, but for names and sequence.
+    // Returns this host's digest, except its names and sequence number.
     std::function<Digest()> own_;
-    // Takes the latest words of the other hosts.
+    // Receives the latest digests of the other hosts.
     std::function<void(const PeersState& aPeers)> publish_;
-    // Gives and takes configurations; empty when hosts get them elsewhere.
+    // Return the configuration in force and receive a newer one from a peer.
+    // Empty when hosts get configurations in another way.
     std::function<OfferedConfiguration()> configuration_{};
     std::function<void(const OfferedConfiguration& aOffered)> offer_{};
-    // Says whether this host is to be found in the store's list, for those that
-    // reach no other host; empty: always.
+    // Returns whether this host adds itself to the store's list, where hosts
+    // that reach no peer look for one; empty: always.
     std::function<bool()> isListed_{};
   };
 
   struct Options
   {
     std::chrono::milliseconds round_{ 1000 };
-    // The same in a fleet in which a host follows only its own zone in full;
-    // not below round_.
+    // The interval in a large fleet, where a host follows only its own zone in
+    // full; at least round_.
     std::chrono::milliseconds largeFleetRound_{ 1000 };
-    // Publishes once a round in place of after each message, but for a
-    // quarantine, which other hosts need at once. With rounds of 150 ms and a
-    // hundred peers the rest can wait for the next one.
+    // Publishes once per round instead of after each message, except for
+    // quarantine entries, which must take effect at once. With rounds of 150 ms
+    // and 100 peers, all other changes can wait for the next round.
     bool publishesInRounds_ = false;
     std::chrono::milliseconds callTimeout_{ 800 };
     std::chrono::milliseconds storeTimeout_{ 2000 };
-    std::chrono::milliseconds joinRetry_{ 1000 };    // while not yet listed
-    std::chrono::milliseconds listPeriod_{ 30'000 }; // when listed
-    // With addresses of others in its settings a host asks these for the fleet
-    // so long before it looks into the store's list.
-    std::chrono::milliseconds seedsWithin_{ 1'000 };
-    std::size_t newsFanout_ = 3;
-    std::size_t roundFanout_ = 2; // a round, in a small fleet
+    std::chrono::milliseconds joinRetry_{ 1000 }; // until this host is listed
+    std::chrono::milliseconds listPeriod_{ 30'000 }; // once listed
+    // Time for which a host with seed addresses in its settings asks only the
+    // seeds before it reads the store's list.
+    std::chrono::milliseconds seedGracePeriod_{ 1'000 };
+    std::size_t configurationFanout_ = 3;
+    std::size_t roundFanout_ = 2; // per round, in a small fleet
     int roundsUntilExpired_ = 5;
-    std::size_t relayed_ = 8;    // words of others in a message
-    std::size_t nearFanout_ = 8; // all of a small fleet
+    std::size_t relayed_ = 8;     // digests of other hosts per message
+    std::size_t scopeFanout_ = 8; // all peers in a small fleet
   };
 
   PeerExchange(Parts aParts, Options aOptions);
 
-  /// Begins to exchange and to join the store's list.
-  /// @param aPort the port that peers reach this host on
-  /// @param aKeys the keys of the hosts: the first signs, all are accepted
-  /// @param aOtherAddress another address at which this host handles calls of
-  /// peers; empty: none
+  /// Starts the exchange rounds and joins the store's list of members.
+  /// @param aPort the port on which peers reach this host
+  /// @param aKeys the hosts' keys: the first one signs, all are accepted
+  /// @param aOtherAddress a second address at which this host handles calls
+  /// from peers; empty: none
   void Start(std::uint16_t aPort,
              std::vector<std::string> aKeys,
              const std::string& aOtherAddress = "");
 
-  /// Tells peers that are behind of a new configuration, at once instead of
-  /// with the next round.
+  /// Announces a new configuration to peers with an older one at once, without
+  /// waiting for the next round.
   void TellNews();
 
-  /// Exchanges with peers nearby at once, for what can't wait for a round.
+  /// Exchanges with peers in scope at once, for changes that can't wait for the
+  /// next round.
   void TellNear();
 
-  /// Adds a method that peers may call; only before Start.
+  /// Registers a method that peers may call. Must be called before Start.
   void AddMethod(const std::string& aName, PeerRpc::Method aMethod)
   {
     rpc_.Add(aName, std::move(aMethod));
   }
 
-  /// Calls a method of a peer.
+  /// Calls a method on a peer.
   /// @return the result, or an error with kPeerUnreachable or kPeerRefused
   boost::asio::awaitable<Outcome<nlohmann::json>> Call(PeerMember aPeer,
                                                        std::string aMethod,
@@ -113,27 +116,27 @@
   /// Handles one request of the peer port's HTTP server.
   boost::asio::awaitable<void> Handle(HttpExchange& aExchange);
 
-  /// Notes that another host was heard of in some other way.
+  /// Records a sign of life of another host from outside the exchange.
   void OnHeard(const std::string& aHost);
 
-  /// Gives every other host known, live or not.
+  /// Returns all other known hosts, live or not.
   std::vector<PeerMember> Known() const;
 
 private:
   boost::asio::awaitable<void> RunRounds();
   boost::asio::awaitable<void> RunMembership();
   boost::asio::awaitable<bool> Join();
-  boost::asio::awaitable<bool> JoinList();
-  boost::asio::awaitable<bool> AskForMembers();
+  boost::asio::awaitable<bool> JoinStoreList();
+  boost::asio::awaitable<bool> FetchMembers();
   boost::asio::awaitable<void> ExchangeWith(PeerMember aPeer);
   boost::asio::awaitable<void> FetchConfiguration(PeerMember aPeer);
   std::vector<PeerMember> SeedPeers() const;
   void StartExchanges(const std::vector<PeerMember>& aPeers);
-  void Refresh();
-  nlohmann::json Answer(const nlohmann::json& aParams);
-  nlohmann::json AnswerConfiguration() const;
-  nlohmann::json AnswerMembers() const;
-  void TakeIn(const PeerMessage& aMessage);
+  void UpdateOwnDigest();
+  nlohmann::json HandleExchange(const nlohmann::json& aParams);
+  nlohmann::json HandleConfiguration() const;
+  nlohmann::json HandleMembers() const;
+  void HandleMessage(const PeerMessage& aMessage);
   std::chrono::milliseconds Round() const;
   void Publish();
 
@@ -143,13 +146,14 @@
   mutable std::mutex mutex_; // guards table_, fetching_
   std::unique_ptr<PeerTable> table_;
   bool fetching_ = false;
-  std::mutex publishMutex_; // snapshots are written in their order
+  std::mutex publishMutex_; // keeps snapshots in order
   std::atomic<bool> started_ = false;
-  std::atomic<bool> alone_ = true; // no other host was live when last published
-  std::atomic<std::size_t> roundsAlone_ = 0; // consecutive
+  // Whether no other host was live at the last publication.
+  std::atomic<bool> noLivePeers_ = true;
+  std::atomic<std::size_t> roundsWithoutPeers_ = 0; // consecutive
   PeerMember self_;
-  std::string otherAddress_; // at which this host is reached as well
-  TimePoint listAgainAt_{};  // until then the store's list need not be read
+  std::string otherAddress_; // second address of this host
+  TimePoint nextListRead_{}; // of the store's list
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-pool-broker.h
+++ b/include/gooseberrylift/internal/gooseberrylift-pool-broker.h
@@ -1,6 +1,6 @@
-// Carries requests to the schedulers of their pools and decisions back. One
-// shard per pool: the pool's scheduler under a lock of its own, which is never
-// held across I/O or together with another shard's.
+// Passes requests to the schedulers of their pools and returns the decisions.
+// Each pool has a shard: a scheduler with its own lock, which is never held
+// across I/O or together with the lock of another shard.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POOL_BROKER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POOL_BROKER_H_
@@ -23,12 +23,12 @@
 
 namespace gooseberrylift {
 
-// The shard of one pool; see the source.
+// The scheduler of one pool and its lock, defined in the source file.
 class PoolShard;
 
-// A place at an endpoint, held for one attempt of a request. Letting it go
-// without Finish counts as an attempt that failed without the endpoint's fault,
-// so that no way out of a request can leak a place.
+// RAII handle of a slot at an endpoint, held for one attempt of a request.
+// Destroying it without Finish releases the slot and counts as a failed attempt
+// that is not the endpoint's fault, so that no exit path leaks a slot.
 class Placement
 {
 public:
@@ -41,17 +41,17 @@
 
   const EndpointView& Endpoint() const { return endpoint_; }
 
-  /// Gives the priority that the engine is to be told; lower runs first.
+  /// Returns the priority to send to the engine; lower values run first.
   int Priority() const { return priority_; }
 
-  /// Gives the time by which the answer must have begun.
-  /// @param aDeadline of the whole answer
+  /// Returns the deadline of the first token.
+  /// @param aDeadline the deadline of the whole response
   TimePoint FirstTokenBy(TimePoint aDeadline) const;
 
-  /// Tells the scheduler that the first token has come.
+  /// Tells the scheduler that the first token has arrived.
   void FirstToken();
 
-  /// Gives the place back with what came of the attempt.
+  /// Releases the slot and reports the outcome of the attempt.
   void Finish(const RequestOutcome& aOutcome);
 
 private:
@@ -62,8 +62,8 @@
   TimePoint firstTokenBy_ = TimePoint::max();
 };
 
-// Reads the sections configuration_, endpoints_ and peers_ and writes demand_.
-// Safe from any thread:
+// Reads the sections configuration_, endpoints_ and peers_; writes demand_.
+// Thread-safe:
 //
 //   auto placement = co_await broker.Acquire("llm", info);
 //   if (!placement) co_return placement.error();
@@ -83,27 +83,27 @@
              Options aOptions);
   ~PoolBroker();
 
-  /// Waits for a place at an endpoint of a pool.
+  /// Waits for a slot at an endpoint of a pool.
   /// @param aPool the pool's name
   /// @param aInfo the request; its id_ is set here
-  /// @return the place, or the scheduler's refusal
+  /// @return the slot, or the error with which the request was rejected
   boost::asio::awaitable<Outcome<Placement>> Acquire(std::string aPool,
                                                      RequestInfo aInfo);
 
-  // How many requests wait and run, for status pages.
+  // Numbers of waiting and running requests, for status pages.
   struct Load
   {
     std::size_t waiting_ = 0;
     std::size_t running_ = 0;
   };
 
-  /// Gives the present load by pool.
+  /// Returns the current load by pool.
   std::map<std::string, Load> Loads() const;
 
 private:
   std::shared_ptr<PoolShard> ShardOf(const std::string& aPool);
   Scheduler::Options OptionsOf(const std::string& aPool) const;
-  std::optional<Error> TakeTeamTokens(const RequestInfo& aInfo);
+  std::optional<Error> AcquireTeamTokens(const RequestInfo& aInfo);
   void Tick();
   void PublishDemand();
   void OnConfiguration();
@@ -112,13 +112,13 @@
 
   boost::asio::any_io_executor executor_;
   Blackboard& board_;
-  std::mutex endpointsMutex_;       // updates of endpoints, one at a time
-  mutable std::shared_mutex mutex_; // guards the map, not the shards
+  std::mutex endpointsMutex_;       // serializes updates of endpoints
+  mutable std::shared_mutex mutex_; // guards shards_, not the shards themselves
   std::map<std::string, std::shared_ptr<PoolShard>> shards_;
   Options options_;
   std::mutex limiterMutex_; // guards limiter_ and random_
   TeamLimiter limiter_;
-  std::minstd_rand random_; // spreads the returns of refused callers
+  std::minstd_rand random_; // jitter of the Retry-After of rejected requests
   TimerSubscription tick_;
   TimerSubscription publish_;
 };
--- a/include/gooseberrylift/internal/gooseberrylift-service-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-service-runner.h
@@ -1,4 +1,5 @@
-// Passes one call on to an endpoint of a plain service and its answer back.
+// Forwards a call to an endpoint of a plain (non-model) service and returns the
+// response.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SERVICE_RUNNER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SERVICE_RUNNER_H_
@@ -15,32 +16,32 @@
 
 namespace gooseberrylift {
 
-// One call to run.
+// A call to a plain service.
 struct ServiceCall
 {
   std::string requestId_;
   std::string pool_;
   RequestInfo info_;
-  HttpRequest request_; // as the endpoint is to receive it
+  HttpRequest request_; // as sent to the endpoint
   bool repeatable_ = false;
-  // Asked right before each attempt; false ends the call as not run.
+  // Called directly before each attempt; false ends the call as not executed.
   std::function<bool()> mayDispatch_{};
 };
 
-// The answer's head, and its body still to be read.
-struct ServiceAnswer
+// The head of a response; the body is read through call_.
+struct ServiceResponse
 {
   std::unique_ptr<HttpCall> call_;
-  Placement placement_; // held until the body was read
+  Placement placement_; // held until the body has been read
 };
 
-// Holds no state of its own between calls; safe from any thread.
+// Keeps no state between calls. Thread-safe.
 class ServiceRunner
 {
 public:
   struct Options
   {
-    int maxAttempts_ = 3; // endpoints tried for one call
+    int maxAttempts_ = 3; // endpoints tried per call
   };
 
   ServiceRunner(HttpClient& aClient,
@@ -49,10 +50,11 @@
                 Metrics& aMetrics,
                 Options aOptions);
 
-  /// Sends a call and waits for the head of its answer. Another endpoint is
-  /// tried when the first did not run it, or when it may be repeated.
-  /// @return the answer, or the error of the last attempt
-  boost::asio::awaitable<Outcome<ServiceAnswer>> Run(ServiceCall aCall);
+  /// Sends a call and waits for the head of the response. Another endpoint is
+  /// tried if the first did not execute the call, or if the call may be
+  /// retried.
+  /// @return the response, or the error of the last attempt
+  boost::asio::awaitable<Outcome<ServiceResponse>> Run(ServiceCall aCall);
 
 private:
   boost::asio::awaitable<Outcome<std::unique_ptr<HttpCall>>> Attempt(
--- a/src/runtime/gooseberrylift-burn-recorder.cc
+++ b/src/runtime/gooseberrylift-burn-recorder.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-// Codes 30 to 59 name faults of the caller: they say nothing of the service.
-bool IsCallersDoing(ResultCode aCode)
+// Result codes 30 to 59 are errors of the caller, which don't count against the
+// service's objective.
+bool IsCallerError(ResultCode aCode)
 {
   const int number = static_cast<int>(aCode);
   return number >= 30 && number <= 59;
@@ -26,7 +27,7 @@
                           BurnSample aSample,
                           ResultCode aCode)
 {
-  if (!aService.objective_ || IsCallersDoing(aCode)) {
+  if (!aService.objective_ || IsCallerError(aCode)) {
     return;
   }
   aSample.succeeded_ = aCode == ResultCode::kOk;
@@ -34,7 +35,7 @@
     std::hash<std::string>()(aSample.team_ + '\n' + aSample.service_);
   Shard& shard = shards_.at(hash % shards_.size());
   const std::lock_guard lock(shard.mutex_);
-  shard.ledger_.Record(aSample, *aService.objective_, TimerService::Now());
+  shard.counters_.Record(aSample, *aService.objective_, TimerService::Now());
 }
 
 BurnDocument BurnRecorder::Document() const
@@ -49,7 +50,7 @@
   }
   for (const Shard& shard : shards_) {
     const std::lock_guard lock(shard.mutex_);
-    MergeTally(document.tally_, shard.ledger_.Tally(TimerService::Now()));
+    MergeTally(document.tally_, shard.counters_.Tally(TimerService::Now()));
   }
   return document;
 }
--- a/src/runtime/gooseberrylift-config-follower.cc
+++ b/src/runtime/gooseberrylift-config-follower.cc
@@ -43,16 +43,16 @@
 {
   while (true) {
     const bool reached = co_await ReadAndWatch();
-    NoteStore(reached);
+    UpdateStoreState(reached);
     if (!reached) {
-      co_await TimerService::SleepFor(Jittered(options_.pause_));
+      co_await TimerService::SleepFor(Jittered(options_.reconnectDelay_));
     }
   }
 }
 
-// A watch can be lost without a sign: the connection stays open and silent.
-// The symptom would be a host that stays behind for as long as the watch was to
-// last; the poll bounds that, and also tells a store that went down.
+// A watch can fail silently: its connection stays open without delivering
+// events, and the host would keep an old configuration until the watch times
+// out. Polling bounds that delay and also detects that the store is down.
 asio::awaitable<void> ConfigFollower::Poll()
 {
   while (true) {
@@ -61,23 +61,23 @@
       co_await store_.Read(kConfigurationKind,
                            kConfigurationName,
                            TimerService::Now() + options_.callTimeout_);
-    NoteStore(main || main.error().code_ == ResultCode::kStoreNotFound);
+    UpdateStoreState(main || main.error().code_ == ResultCode::kStoreNotFound);
     if (main) {
-      Offer(main.value());
+      ApplyIfNewer(main.value());
     }
   }
 }
 
 bool ConfigFollower::ShouldWatch() const
 {
-  std::size_t before = 0;
+  std::size_t rank = 0;
   for (const Digest& digest : board_.peers_.Read()->digests_) {
     if (digest.zone_ == options_.zone_ && digest.storeReachable_ &&
         digest.host_ < options_.host_) {
-      ++before;
+      ++rank;
     }
   }
-  return before < options_.watchersPerZone_;
+  return rank < options_.watchersPerZone_;
 }
 
 std::chrono::milliseconds ConfigFollower::PollPeriod() const
@@ -89,8 +89,8 @@
                     options_.pollsPerSecond_);
 }
 
-// Between three quarters and five quarters, so that hosts that lost the store
-// together don't come back together.
+// Scales a delay by a factor between 3/4 and 5/4, so that hosts that lost the
+// store at the same time don't reconnect at the same time.
 std::chrono::milliseconds ConfigFollower::Jittered(
   std::chrono::milliseconds aPause)
 {
@@ -105,9 +105,9 @@
   if (!list) {
     co_return false;
   }
-  NoteStore(true);
+  UpdateStoreState(true);
   for (const StoreObject& object : list.value().items_) {
-    Offer(object);
+    ApplyIfNewer(object);
   }
   if (!ShouldWatch()) {
     co_await TimerService::SleepFor(Jittered(PollPeriod()));
@@ -118,16 +118,16 @@
     list.value().version_,
     [this](const StoreEvent& aEvent) {
       if (!aEvent.deleted_) {
-        Offer(aEvent.object_);
+        ApplyIfNewer(aEvent.object_);
       }
     },
-    options_.watchFor_,
-    TimerService::Now() + options_.watchFor_ + std::chrono::seconds(1));
+    options_.watchTimeout_,
+    TimerService::Now() + options_.watchTimeout_ + std::chrono::seconds(1));
   co_return watched.has_value() ||
     watched.error().code_ == ResultCode::kStoreGone;
 }
 
-bool ConfigFollower::Offer(const StoreObject& aObject)
+bool ConfigFollower::ApplyIfNewer(const StoreObject& aObject)
 {
   if (aObject.name_ != kConfigurationName) {
     return false;
@@ -144,12 +144,13 @@
 {
   const std::lock_guard lock(mutex_);
   const auto current = board_.configuration_.Read()->configuration_;
-  // The store may have been put back to an older state, or a lagging peer's
-  // copy may come late: a configuration once in force never reverts.
+  // An older generation can come from a store that was restored from a backup
+  // or from a peer that lags behind. A configuration in force is never replaced
+  // by an older one.
   if (current && aGeneration <= current->Generation()) {
     if (aGeneration < current->Generation() &&
         aSource == ConfigSource::kStore) {
-      NoteOlder(aGeneration);
+      ReportOlderGeneration(aGeneration);
     }
     return false;
   }
@@ -176,16 +177,16 @@
     [] { return false; });
 }
 
-// Alarms once for each older generation seen, not with each reading.
-void ConfigFollower::NoteOlder(std::uint64_t aGeneration)
+// Logs each older generation once, not on every read.
+void ConfigFollower::ReportOlderGeneration(std::uint64_t aGeneration)
 {
-  if (alarmed_ != aGeneration) {
-    alarmed_ = aGeneration;
+  if (lastOlderReported_ != aGeneration) {
+    lastOlderReported_ = aGeneration;
     Log(LogEvent::kConfigurationOlder, { { "generation", aGeneration } });
   }
 }
 
-void ConfigFollower::NoteStore(bool aReachable)
+void ConfigFollower::UpdateStoreState(bool aReachable)
 {
   const std::lock_guard lock(storeMutex_);
   const auto before = board_.store_.Read();
--- a/src/runtime/gooseberrylift-endpoint-tracker.cc
+++ b/src/runtime/gooseberrylift-endpoint-tracker.cc
@@ -54,7 +54,7 @@
   , executor_(std::move(aExecutor))
   , board_(aBoard)
   , options_(std::move(aOptions))
-  , book_(EndpointRegistry::Options{})
+  , registry_(EndpointRegistry::Options{})
 {
 }
 
@@ -65,8 +65,9 @@
     {
       const std::lock_guard lock(mutex_);
       for (const Digest& digest : aPeers->digests_) {
-        for (const EndpointDigest& word : digest.endpoints_) {
-          changed = book_.OnPeerDigest(word, TimerService::Now()) || changed;
+        for (const EndpointDigest& endpoint : digest.endpoints_) {
+          changed =
+            registry_.OnPeerDigest(endpoint, TimerService::Now()) || changed;
         }
       }
     }
@@ -98,7 +99,7 @@
   bool changed = false;
   {
     const std::lock_guard lock(mutex_);
-    changed = book_.OnFailure(aEndpoint, TimerService::Now());
+    changed = registry_.OnFailure(aEndpoint, TimerService::Now());
   }
   Publish(changed);
 }
@@ -108,7 +109,7 @@
   bool changed = false;
   {
     const std::lock_guard lock(mutex_);
-    changed = book_.OnLeaving(aEndpoint, TimerService::Now());
+    changed = registry_.OnLeaving(aEndpoint, TimerService::Now());
   }
   Publish(changed);
 }
@@ -124,12 +125,12 @@
     body = json::parse(response.value().body_, nullptr, false);
   }
   if (!body.is_object()) {
-    if (!listLost_.exchange(true)) {
+    if (!listUnavailable_.exchange(true)) {
       Log(LogEvent::kHostListLost, { { "address", options_.listAddress_ } });
     }
     co_return;
   }
-  listLost_ = false;
+  listUnavailable_ = false;
   std::vector<EndpointView> listed;
   for (const json& host : body.value("hosts", json::array())) {
     listed.push_back(ViewOf(host));
@@ -137,7 +138,7 @@
   bool changed = false;
   {
     const std::lock_guard lock(mutex_);
-    changed = book_.OnList(listed, TimerService::Now());
+    changed = registry_.OnList(listed, TimerService::Now());
   }
   Publish(changed);
 }
@@ -147,7 +148,7 @@
   std::vector<EndpointView> due;
   {
     const std::lock_guard lock(mutex_);
-    for (EndpointView& view : book_.Views()) {
+    for (EndpointView& view : registry_.Views()) {
       if (polling_.insert(view.name_).second) {
         due.push_back(std::move(view));
       }
@@ -174,10 +175,10 @@
     const std::lock_guard lock(mutex_);
     polling_.erase(aName);
     if (body.is_object()) {
-      changed = book_.OnReport(aName, ReportOf(body, now), now);
+      changed = registry_.OnReport(aName, ReportOf(body, now), now);
       dirty_ = true;
     } else {
-      changed = book_.OnFailure(aName, now);
+      changed = registry_.OnFailure(aName, now);
     }
   }
   Publish(changed);
@@ -192,7 +193,7 @@
   std::vector<EndpointView> views;
   {
     const std::lock_guard lock(mutex_);
-    views = book_.Views();
+    views = registry_.Views();
   }
   board_.endpoints_.Write({ .endpoints_ = std::move(views) });
 }
--- a/src/runtime/gooseberrylift-failed-attempt.cc
+++ b/src/runtime/gooseberrylift-failed-attempt.cc
@@ -4,10 +4,10 @@
 
 namespace gooseberrylift {
 
-void NoteFailedAttempt(Metrics& aMetrics,
-                       const std::string& aRequestId,
-                       const std::string& aEndpoint,
-                       const Error& aError)
+void ReportFailedAttempt(Metrics& aMetrics,
+                         const std::string& aRequestId,
+                         const std::string& aEndpoint,
+                         const Error& aError)
 {
   const int code = static_cast<int>(aError.code_);
   aMetrics.Count("gooseberrylift_attempts_failed_total",
--- a/src/runtime/gooseberrylift-job-runner.cc
+++ b/src/runtime/gooseberrylift-job-runner.cc
@@ -21,14 +21,14 @@
   return std::chrono::system_clock::now();
 }
 
-std::uint64_t Draw()
+std::uint64_t RandomNumber()
 {
   thread_local std::mt19937_64 sGenerator{ std::random_device{}() };
   return sGenerator();
 }
 
-// Gathers a job's tokens. Ends the generation once the claim is lost, since
-// another host does the work then.
+// Collects the tokens of a job. Stops the generation once the claim is lost,
+// because another host may run the job then.
 class JobSink : public TokenSink
 {
 public:
@@ -49,8 +49,8 @@
   std::string finishReason_;
 };
 
-// The caller's own fault, which no other engine and no later time mends.
-bool IsForGood(ResultCode aCode)
+// Returns whether the request itself is invalid, so that no retry can succeed.
+bool IsPermanentFailure(ResultCode aCode)
 {
   return aCode == ResultCode::kMalformedJson ||
          aCode == ResultCode::kBadField || aCode == ResultCode::kUnknownModel;
@@ -58,13 +58,13 @@
 
 } // namespace
 
-// One job that this host holds. Everything runs on one strand.
+// A job claimed by this host. All access is on one strand.
 struct JobRunner::Claim
 {
   StoredJob job_;
-  bool lost_ = false;     // another host holds it, or it was removed
-  bool ended_ = false;    // no more renewals
-  bool renewing_ = false; // a renewal is under way; its version is to come
+  bool lost_ = false;     // claimed by another host, or deleted
+  bool ended_ = false;    // stops the renewal of the lease
+  bool renewing_ = false; // an update is in flight, so job_'s version is stale
 };
 
 JobRunner::JobRunner(ObjectStore& aStore,
@@ -84,8 +84,8 @@
 
 void JobRunner::Start()
 {
-  SpawnTask(asio::make_strand(executor_), Follow());
-  SpawnTask(asio::make_strand(executor_), PickLoop());
+  SpawnTask(asio::make_strand(executor_), FollowJobs());
+  SpawnTask(asio::make_strand(executor_), ClaimLoop());
   SpawnTask(asio::make_strand(executor_), SweepLoop());
 }
 
@@ -95,12 +95,12 @@
   return book_.HasRoom(aTeam);
 }
 
-asio::awaitable<void> JobRunner::Follow()
+asio::awaitable<void> JobRunner::FollowJobs()
 {
   while (true) {
     const bool reached = co_await ListAndWatch();
     if (!reached) {
-      co_await TimerService::SleepFor(options_.retry_);
+      co_await TimerService::SleepFor(options_.retryInterval_);
     }
   }
 }
@@ -117,7 +117,7 @@
     book_.Clear();
   }
   for (const StoreObject& object : list.value().items_) {
-    Note(object);
+    OnJobChanged(object);
   }
   const auto watched = co_await objects_.Watch(
     kJobKind,
@@ -127,35 +127,35 @@
         const std::lock_guard lock(mutex_);
         book_.OnDeleted(aEvent.object_.name_);
       } else {
-        Note(aEvent.object_);
+        OnJobChanged(aEvent.object_);
       }
     },
-    options_.watchFor_,
-    TimerService::Now() + options_.watchFor_ + std::chrono::seconds(1));
+    options_.watchTimeout_,
+    TimerService::Now() + options_.watchTimeout_ + std::chrono::seconds(1));
   co_return watched.has_value();
 }
 
-void JobRunner::Note(const StoreObject& aObject)
+void JobRunner::OnJobChanged(const StoreObject& aObject)
 {
   const JobRecord record = JobRecord::Parse(aObject.spec_);
   const std::lock_guard lock(mutex_);
   book_.OnJob(aObject.name_, record);
 }
 
-asio::awaitable<void> JobRunner::PickLoop()
+asio::awaitable<void> JobRunner::ClaimLoop()
 {
   while (true) {
-    // Spread, so that hosts don't look for work at the same moment.
-    const milliseconds pause(options_.pick_.count() / 2 +
-                             Draw() % options_.pick_.count());
+    // Jitter keeps hosts from polling for jobs at the same time.
+    const milliseconds pause(options_.pollInterval_.count() / 2 +
+                             RandomNumber() % options_.pollInterval_.count());
     co_await TimerService::SleepFor(pause);
     if (!board_.host_.Read()->draining_) {
-      PickOne();
+      StartNextJob();
     }
   }
 }
 
-void JobRunner::PickOne()
+void JobRunner::StartNextJob()
 {
   std::optional<std::string> id;
   {
@@ -163,7 +163,7 @@
     if (running_.size() >= options_.maxRunning_) {
       return;
     }
-    id = book_.Pick(running_, WallNow(), Draw());
+    id = book_.Pick(running_, WallNow(), RandomNumber());
     if (!id) {
       return;
     }
@@ -177,8 +177,8 @@
 asio::awaitable<void> JobRunner::SweepLoop()
 {
   while (true) {
-    const milliseconds pause(options_.sweep_.count() / 2 +
-                             Draw() % options_.sweep_.count());
+    const milliseconds pause(options_.sweepInterval_.count() / 2 +
+                             RandomNumber() % options_.sweepInterval_.count());
     co_await TimerService::SleepFor(pause);
     std::vector<std::string> expired;
     {
@@ -200,8 +200,8 @@
   const std::shared_ptr<Claim> claim = co_await TakeClaim(aId);
   if (claim) {
     const auto executor = co_await asio::this_coro::executor;
-    SpawnTask(executor, Renew(claim));
-    co_await Work(claim);
+    SpawnTask(executor, RenewLease(claim));
+    co_await RunClaimed(claim);
     claim->ended_ = true;
   }
   const std::lock_guard lock(mutex_);
@@ -209,7 +209,8 @@
 }
 
 // Claims a job by conditional update.
-// @return null when somebody else has it or the store can't be reached
+// @return null when the job is claimed by another host or deleted, or when the
+// store is unreachable
 asio::awaitable<std::shared_ptr<JobRunner::Claim>> JobRunner::TakeClaim(
   std::string aId)
 {
@@ -241,9 +242,9 @@
   co_return claim;
 }
 
-// Prolongs the lease while the job runs. A renewal that meets a conflict means
-// that the job is another's now.
-asio::awaitable<void> JobRunner::Renew(std::shared_ptr<Claim> aClaim)
+// Renews the lease while the job runs. A conflict on renewal means that another
+// host has claimed the job.
+asio::awaitable<void> JobRunner::RenewLease(std::shared_ptr<Claim> aClaim)
 {
   while (true) {
     co_await TimerService::SleepFor(options_.lease_ / 3);
@@ -265,14 +266,14 @@
   }
 }
 
-asio::awaitable<void> JobRunner::Work(std::shared_ptr<Claim> aClaim)
+asio::awaitable<void> JobRunner::RunClaimed(std::shared_ptr<Claim> aClaim)
 {
   if (aClaim->job_.record_.claims_ > options_.maxClaims_) {
-    co_await End(aClaim, MakeError(ResultCode::kJobClaimsUsed));
+    co_await FinishJob(aClaim, MakeError(ResultCode::kJobClaimsUsed));
     co_return;
   }
   auto result = co_await Generate(aClaim);
-  co_await End(aClaim, std::move(result));
+  co_await FinishJob(aClaim, std::move(result));
 }
 
 asio::awaitable<Outcome<std::string>> JobRunner::Generate(
@@ -295,12 +296,13 @@
     } else {
       last = request.error();
     }
-    // What was refused before it ran costs the job nothing but time.
+    // Attempts that were rejected before execution don't count as failures.
     failures += last.ran_ == RanState::kNo ? 0 : 1;
-    if (IsForGood(last.code_) || failures >= options_.maxFailures_) {
+    if (IsPermanentFailure(last.code_) || failures >= options_.maxFailures_) {
       co_return last;
     }
-    co_await TimerService::SleepFor(last.retryAfter_.value_or(options_.retry_));
+    co_await TimerService::SleepFor(
+      last.retryAfter_.value_or(options_.retryInterval_));
   }
   co_return last;
 }
@@ -351,18 +353,18 @@
                              done.value().tokens_);
 }
 
-// Stores the end. As long as the store can't be reached the result is kept and
-// tried again; the lease may lapse meanwhile, and then whoever writes first
-// wins.
-asio::awaitable<void> JobRunner::End(std::shared_ptr<Claim> aClaim,
-                                     Outcome<std::string> aResult)
+// Stores the result. While the store is unreachable, the result is kept in
+// memory and the write is retried. The lease may expire meanwhile; then the
+// first host to write wins.
+asio::awaitable<void> JobRunner::FinishJob(std::shared_ptr<Claim> aClaim,
+                                           Outcome<std::string> aResult)
 {
   while (!aClaim->lost_) {
     aClaim->ended_ = true;
     while (aClaim->renewing_) {
       co_await TimerService::SleepFor(milliseconds(5));
     }
-    const auto written = co_await WriteEnd(aClaim, aResult);
+    const auto written = co_await WriteOutcome(aClaim, aResult);
     if (written) {
       const int code = aResult ? 0 : static_cast<int>(aResult.error().code_);
       nlohmann::json fields = nlohmann::json::object();
@@ -374,7 +376,7 @@
     aClaim->lost_ = written.error().code_ == ResultCode::kStoreConflict ||
                     written.error().code_ == ResultCode::kStoreNotFound;
     if (!aClaim->lost_) {
-      co_await TimerService::SleepFor(options_.retry_);
+      co_await TimerService::SleepFor(options_.retryInterval_);
     }
   }
   nlohmann::json fields = nlohmann::json::object();
@@ -382,7 +384,7 @@
   Log(LogEvent::kJobClaimLost, std::move(fields));
 }
 
-asio::awaitable<Outcome<void>> JobRunner::WriteEnd(
+asio::awaitable<Outcome<void>> JobRunner::WriteOutcome(
   std::shared_ptr<Claim> aClaim,
   Outcome<std::string> aResult)
 {
--- a/src/runtime/gooseberrylift-log-sink.cc
+++ b/src/runtime/gooseberrylift-log-sink.cc
@@ -8,11 +8,12 @@
 bool WriteWithoutWaiting(int aDescriptor, std::string aLine)
 {
   aLine += '\n';
-  if (aLine.size() > kLongestLogLine) {
+  if (aLine.size() > kMaxLogLineBytes) {
     return false;
   }
-  // A pipe counts as writable while it has room for a line of the longest
-  // kind, and takes such a line in one piece.
+  // poll() reports a pipe as writable only while it has room for PIPE_BUF
+  // bytes, so a line of at most that size is written atomically and without
+  // blocking.
   pollfd ready{ .fd = aDescriptor, .events = POLLOUT, .revents = 0 };
   if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
     return false;
--- a/src/runtime/gooseberrylift-log-sink.h
+++ b/src/runtime/gooseberrylift-log-sink.h
@@ -1,4 +1,4 @@
-// Where log lines go: one descriptor, without ever waiting for its reader.
+// Writes log lines to a file descriptor without blocking.
 
 #ifndef GOOSEBERRYLIFT_RUNTIME_GOOSEBERRYLIFT_LOG_SINK_H_
 #define GOOSEBERRYLIFT_RUNTIME_GOOSEBERRYLIFT_LOG_SINK_H_
@@ -7,14 +7,14 @@
 
 namespace gooseberrylift {
 
-// The longest line that a pipe takes whole or not at all. Longer ones are left
-// out: a part of a line helps nobody, and could wait for its reader.
-constexpr std::size_t kLongestLogLine = 4'096; // PIPE_BUF of Linux
+// Maximum size of a write that a pipe performs atomically. Longer lines are
+// dropped, because they could be written in part or block.
+constexpr std::size_t kMaxLogLineBytes = 4'096; // PIPE_BUF of Linux
 
-/// Writes a line, with its newline, unless its reader is behind. A collector
-/// that hangs then costs lines and not requests: a write to a full pipe would
-/// hold up every request of the process.
-/// @return false when the line was left out
+/// Writes a line and a newline, or drops it if the descriptor is not writable.
+/// A write to a full pipe would block all requests of the process; with this
+/// function a log collector that hangs costs only log lines.
+/// @return false if the line was dropped
 bool WriteWithoutWaiting(int aDescriptor, std::string aLine);
 
 } // namespace gooseberrylift
--- a/src/runtime/gooseberrylift-log.cc
+++ b/src/runtime/gooseberrylift-log.cc
@@ -26,28 +26,31 @@
   LogEventInfo{ kStarted,
                 LogLevel::kInfo,
                 "started",
-                "The host listens; the fields give its ports." },
+                "The host accepts connections; the fields give its ports." },
   LogEventInfo{ kDrainStarted,
                 LogLevel::kInfo,
                 "drain-started",
-                "A planned stop began; readiness is off." },
+                "A graceful shutdown began; the host reports not ready." },
   LogEventInfo{ kDrainFinished,
                 LogLevel::kInfo,
                 "drain-finished",
-                "The planned stop ended; 'cut' counts what it had to cut." },
+                "The graceful shutdown ended; 'cut' counts aborted requests." },
   LogEventInfo{ kSettingsReloaded,
                 LogLevel::kInfo,
                 "settings-reloaded",
-                "The settings file changed; its new bounds are in force." },
-  LogEventInfo{ kSettingsRefused,
-                LogLevel::kError,
-                "settings-refused",
-                "The changed settings file is wrong; the old ones stay." },
-  LogEventInfo{ kStopped,
-                LogLevel::kInfo,
-                "stopped",
-                "The host ends; 'tasks_left' counts coroutines that did not "
-                "end in time, 'elapsed_ms' is the time since the drain." },
+                "The settings file changed; its new limits are in force." },
+  LogEventInfo{
+    kSettingsRefused,
+    LogLevel::kError,
+    "settings-refused",
+    "The changed settings file is invalid; the old settings stay in "
+    "force." },
+  LogEventInfo{
+    kStopped,
+    LogLevel::kInfo,
+    "stopped",
+    "The host exits; 'tasks_left' counts coroutines that did not "
+    "finish in time, 'elapsed_ms' is the time since the drain began." },
   LogEventInfo{ kConfigurationApplied,
                 LogLevel::kInfo,
                 "configuration-applied",
@@ -55,103 +58,109 @@
   LogEventInfo{ kConfigurationRejected,
                 LogLevel::kError,
                 "configuration-rejected",
-                "The store's configuration is wrong and was not applied." },
+                "A received configuration is invalid and was not applied." },
   LogEventInfo{ kStoreLost,
                 LogLevel::kWarning,
                 "store-lost",
-                "The object store stopped answering this host." },
+                "The object store no longer responds to this host." },
   LogEventInfo{ kStoreReached,
                 LogLevel::kInfo,
                 "store-reached",
-                "The object store answers this host." },
-  LogEventInfo{ kConfigurationOlder,
-                LogLevel::kError,
-                "configuration-older",
-                "The store shows an older generation than the one in force; it "
-                "was refused. The store may have been put back." },
+                "The object store responds to this host." },
+  LogEventInfo{
+    kConfigurationOlder,
+    LogLevel::kError,
+    "configuration-older",
+    "The store has an older generation than the one in force; it "
+    "was ignored. The store may have been restored from a backup." },
   LogEventInfo{ kConfigurationAccepted,
                 LogLevel::kInfo,
                 "configuration-accepted",
-                "A change by an operator is stored and will be in force." },
+                "An operator's change was stored and is being applied." },
   LogEventInfo{ kConfigurationConflicted,
                 LogLevel::kInfo,
                 "configuration-conflicted",
-                "A change by an operator was refused: its base has changed." },
+                "An operator's change was rejected: its base generation is no "
+                "longer current." },
   LogEventInfo{ kKeysUnproven,
                 LogLevel::kWarning,
                 "keys-unproven",
-                "Too long without a proof that no key was taken away; requests "
-                "with keys are refused." },
+                "The host could not verify for too long that no key was "
+                "revoked; requests with keys are rejected." },
   LogEventInfo{ kKeysProven,
                 LogLevel::kInfo,
                 "keys-proven",
-                "The store has shown the newest keys again." },
+                "The host has read the current keys from the store again." },
   LogEventInfo{ kStoreReading,
                 LogLevel::kInfo,
                 "store-reading",
-                "The host begins or ends to read the store for itself and "
-                "others; in between it hears from them what they read." },
+                "The host starts or stops reading the store on behalf of its "
+                "peers; while stopped, it receives changes from them." },
   LogEventInfo{ kZoneSummed,
                 LogLevel::kInfo,
                 "zone-summed",
-                "The host begins or ends to tell other availability zones what "
-                "its own has in work." },
-  LogEventInfo{ kHostListLost,
-                LogLevel::kWarning,
-                "host-list-lost",
-                "The host list can't be read; the last one stays in use." },
+                "The host starts or stops sending the total load of its "
+                "availability zone to other zones." },
+  LogEventInfo{
+    kHostListLost,
+    LogLevel::kWarning,
+    "host-list-lost",
+    "The host list can't be read; the last known list stays in use." },
   LogEventInfo{ kEndpointState,
                 LogLevel::kInfo,
                 "endpoint-state",
                 "An endpoint appeared or changed its state." },
-  LogEventInfo{ kEntryRefused,
-                LogLevel::kWarning,
-                "entry-refused",
-                "An endpoint's entry in the store is wrong and was left out." },
+  LogEventInfo{
+    kEntryRefused,
+    LogLevel::kWarning,
+    "entry-refused",
+    "An endpoint's entry in the store is invalid and was ignored." },
   LogEventInfo{ kEndpointReborn,
                 LogLevel::kInfo,
                 "endpoint-reborn",
-                "An endpoint started again under the id that it had; what was "
-                "known of its former life is forgotten." },
+                "An endpoint restarted under the same id; the state kept for "
+                "its previous incarnation is discarded." },
   LogEventInfo{ kEndpointRate,
                 LogLevel::kInfo,
                 "endpoint-rate",
-                "An endpoint's rate limit was learnt, has changed or ended." },
+                "An endpoint's rate limit was detected, changed or lifted." },
   LogEventInfo{ kZoneEvacuated,
                 LogLevel::kInfo,
                 "zone-evacuated",
-                "An availability zone is evacuated, so that its endpoints get "
-                "no new requests, or is taken back." },
+                "The evacuation of an availability zone began or ended; during "
+                "it the zone's endpoints get no new requests." },
   LogEventInfo{ kRequestFinished,
                 LogLevel::kDebug,
                 "request-finished",
-                "A request was answered whole." },
+                "A request was answered completely." },
   LogEventInfo{ kRequestFailed,
                 LogLevel::kInfo,
                 "request-failed",
-                "A request ended with an error, given by its code." },
-  LogEventInfo{ kAttemptFailed,
-                LogLevel::kInfo,
-                "attempt-failed",
-                "An endpoint failed a request, which may be tried again." },
+                "A request ended with an error; 'code' is its result code." },
+  LogEventInfo{
+    kAttemptFailed,
+    LogLevel::kInfo,
+    "attempt-failed",
+    "An attempt at an endpoint failed; the request may be retried." },
   LogEventInfo{ kRequestServed,
                 LogLevel::kInfo,
                 "request-served",
-                "A routed request was answered whole; the fields give its "
+                "A routed request was answered completely; the fields give its "
                 "times." },
   LogEventInfo{ kRequestPlaced,
                 LogLevel::kInfo,
                 "request-placed",
-                "An endpoint was chosen; the fields give what decided it." },
-  LogEventInfo{ kRequestRefused,
-                LogLevel::kInfo,
-                "request-refused",
-                "A request was refused without being sent; the fields give "
-                "what decided it." },
+                "An endpoint was selected; the fields give the reasons." },
+  LogEventInfo{
+    kRequestRefused,
+    LogLevel::kInfo,
+    "request-refused",
+    "A request was rejected without being sent; the fields give the "
+    "reasons." },
   LogEventInfo{ kRequestSuspected,
                 LogLevel::kWarning,
                 "request-suspected",
-                "A request ended two endpoints; all hosts refuse it now." },
+                "A request crashed two endpoints; all hosts now reject it." },
   LogEventInfo{ kJobEnded,
                 LogLevel::kInfo,
                 "job-ended",
@@ -159,17 +168,17 @@
   LogEventInfo{ kJobClaimLost,
                 LogLevel::kWarning,
                 "job-claim-lost",
-                "Another host took the job over, or its caller removed it." },
+                "Another host claimed the job, or its caller deleted it." },
   LogEventInfo{ kPeerRefused,
                 LogLevel::kWarning,
                 "peer-refused",
-                "A message from another host was refused: wrong signature, "
-                "sent twice, or clocks that differ." },
+                "A message from another host was rejected: invalid signature, "
+                "duplicate, or clock skew." },
   LogEventInfo{ kPeerWordsFailed,
                 LogLevel::kError,
                 "peer-words-failed",
-                "The port for words of load could not be had; hosts hear of "
-                "each other's requests later, with their exchanges." },
+                "The port for load messages could not be bound; load is "
+                "exchanged later, with the regular peer exchange." },
 };
 
 constexpr std::array kComponents = {
@@ -185,10 +194,10 @@
                                                           "warning",
                                                           "error" };
 
-// By component, in the order of kComponents.
+// Minimum level of each component, in the order of kComponents.
 using Levels = std::array<std::atomic<LogLevel>, kComponents.size()>;
-Levels sLowest{};
-std::string sHost; // written once, before any thread starts
+Levels sMinLevels{};
+std::string sHost; // written once, before threads start
 
 struct LimitedEvent
 {
@@ -196,7 +205,7 @@
   EventRateLimiter limit_{ EventRateLimiter::Options{} };
 };
 
-// By event, in the order of kEvents.
+// One limiter per event, in the order of kEvents.
 std::array<LimitedEvent, kEvents.size()> sLimits;
 
 std::optional<LogLevel> LevelOf(std::string_view aName)
@@ -214,8 +223,9 @@
                                   kComponents.front().hundreds_);
 }
 
-// Nothing when the event is over its rate, else how many were before.
-std::optional<std::uint64_t> PassLimit(const LogEventInfo& aInfo)
+// Returns nullopt if the event is over its rate limit, else the number of
+// events that were suppressed before it.
+std::optional<std::uint64_t> AdmitEvent(const LogEventInfo& aInfo)
 {
   LimitedEvent& event =
     sLimits.at(static_cast<std::size_t>(&aInfo - kEvents.data()));
@@ -223,16 +233,17 @@
   return event.limit_.Admit(TimerService::Now());
 }
 
-// Lines that their reader had no room for; the next one written tells.
-std::atomic<std::uint64_t> sUnwritten = 0;
+// Number of lines dropped because the reader was too slow, reported with the
+// next line.
+std::atomic<std::uint64_t> sDroppedLines = 0;
 
-class StandardOutput : public el::LogDispatchCallback
+class StandardOutputCallback : public el::LogDispatchCallback
 {
 protected:
   void handle(const el::LogDispatchData* aData) override
   {
     if (!WriteWithoutWaiting(STDOUT_FILENO, aData->logMessage()->message())) {
-      sUnwritten.fetch_add(1, std::memory_order_relaxed);
+      sDroppedLines.fetch_add(1, std::memory_order_relaxed);
     }
   }
 };
@@ -266,7 +277,7 @@
   bool known = false;
   for (std::size_t index = 0; index < kComponents.size(); ++index) {
     if (aComponent == "all" || aComponent == kComponents.at(index).name_) {
-      sLowest.at(index).store(*level, std::memory_order_relaxed);
+      sMinLevels.at(index).store(*level, std::memory_order_relaxed);
       known = true;
     }
   }
@@ -277,7 +288,7 @@
 {
   const auto index = static_cast<std::size_t>(aComponent.hundreds_ -
                                               kComponents.front().hundreds_);
-  return NameOf(sLowest.at(index).load(std::memory_order_relaxed));
+  return NameOf(sMinLevels.at(index).load(std::memory_order_relaxed));
 }
 
 std::string_view NameOf(LogLevel aLevel)
@@ -297,26 +308,27 @@
   el::Loggers::reconfigureAllLoggers(configurations);
   el::Helpers::uninstallLogDispatchCallback<
     el::base::DefaultLogDispatchCallback>("DefaultLogDispatchCallback");
-  el::Helpers::installLogDispatchCallback<StandardOutput>("StandardOutput");
+  el::Helpers::installLogDispatchCallback<StandardOutputCallback>(
+    "StandardOutput");
 }
 
 void Log(LogEvent aEvent, nlohmann::json aFields)
 {
   const LogEventInfo& info = InfoOf(aEvent);
-  const auto& lowest = sLowest.at(ComponentOf(aEvent));
-  if (info.level_ < lowest.load(std::memory_order_relaxed)) {
+  const auto& minLevel = sMinLevels.at(ComponentOf(aEvent));
+  if (info.level_ < minLevel.load(std::memory_order_relaxed)) {
     return;
   }
-  const auto leftOut = PassLimit(info);
-  if (!leftOut) {
+  const auto suppressed = AdmitEvent(info);
+  if (!suppressed) {
     return;
   }
-  if (*leftOut > 0) {
-    aFields["left_out"] = *leftOut;
+  if (*suppressed > 0) {
+    aFields["left_out"] = *suppressed;
   }
-  const std::uint64_t unwritten = sUnwritten.exchange(0);
-  if (unwritten > 0) {
-    aFields["unwritten"] = unwritten;
+  const std::uint64_t dropped = sDroppedLines.exchange(0);
+  if (dropped > 0) {
+    aFields["unwritten"] = dropped;
   }
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   aFields["at_ms"] =
--- a/src/runtime/gooseberrylift-metrics.cc
+++ b/src/runtime/gooseberrylift-metrics.cc
@@ -15,7 +15,8 @@
 
 constexpr std::size_t kShards = 8;
 
-// A thread keeps the shard that it got first, so that threads seldom meet.
+// Each thread is assigned a fixed shard, round robin, which keeps lock
+// contention low.
 std::size_t ShardOfThread()
 {
   static std::atomic<std::size_t> sNext = 0;
--- a/src/runtime/gooseberrylift-model-runner.cc
+++ b/src/runtime/gooseberrylift-model-runner.cc
@@ -17,10 +17,10 @@
 constexpr std::string_view kEndMarker = "[DONE]";
 constexpr std::chrono::milliseconds kCancelTimeout{ 1000 };
 
-// An engine that hangs in the midst of an answer is left after this long. The
-// longest step beside a prompt of a million tokens takes some 50 ms; ten
-// seconds let an engine put a sequence aside for others and resume it.
-constexpr std::chrono::milliseconds kTokenSilence{ 10'000 };
+// Longest gap between two tokens before an engine counts as hung. The longest
+// step next to a prompt of a million tokens takes about 50 ms; 10 seconds also
+// allow for an engine that preempts a sequence and resumes it.
+constexpr std::chrono::milliseconds kTokenTimeout{ 10'000 };
 
 asio::awaitable<void> SendCancel(HttpClient& aClient,
                                  std::string aAddress,
@@ -34,9 +34,9 @@
                          TimerService::Now() + kCancelTimeout);
 }
 
-// Tells an engine to drop a request, unless it finished. It runs on every way
-// out, so that a caller's leaving frees the engine's memory at once; closing
-// the connection alone would leave the engine to notice at its next write.
+// Cancels a request on its engine on every exit path, unless it is disarmed.
+// This frees the engine's memory at once when a caller disconnects; an engine
+// notices a closed connection only at its next write.
 class CancelGuard
 {
 public:
@@ -81,11 +81,13 @@
          aCode == ResultCode::kStreamCut;
 }
 
-// What an engine's status means. A 4xx is the caller's fault or a true "not
-// run"; either way another engine is tried only for the second. A refusal that
-// does not echo the request may be another's, and proves nothing.
-std::optional<Error> FaultOfHead(const HttpResponse& aHead,
-                                 std::string_view aRequestId)
+// Maps the status of an engine's response to an error. An error status, 4xx
+// included, counts as "not executed" only if the engine marks it so; otherwise
+// the request may have run. A rejection that does not echo the request's id may
+// belong to another request, so it does not prove that this one was not
+// executed.
+std::optional<Error> ErrorFromStatus(const HttpResponse& aHead,
+                                     std::string_view aRequestId)
 {
   if (aHead.status_ == 200) {
     return std::nullopt;
@@ -98,8 +100,9 @@
                 .ran_ = notRun ? RanState::kNo : RanState::kUnknown };
 }
 
-// Adds this host's fields to the caller's. A prompt of megabytes is sent on as
-// the text that it came as; writing it anew costs more than all else here.
+// Adds this host's fields to the caller's body. Where possible the fields are
+// appended to the unparsed text, because serializing a prompt of several
+// megabytes again costs more than the rest of this function.
 std::string EngineBody(const Generation& aGeneration, const json& aOwn)
 {
   if (aGeneration.text_.empty()) {
@@ -116,9 +119,9 @@
   return text;
 }
 
-// A silence that ended before the caller's deadline is the engine's fault, and
-// another engine is tried in the time that is left.
-Error FaultOfSilence(Error aError, TimePoint aDeadline)
+// Converts a timeout that expired before the caller's deadline to a fault of
+// the engine, so that another engine is tried in the remaining time.
+Error ErrorForStall(Error aError, TimePoint aDeadline)
 {
   if (aError.code_ == ResultCode::kDeadlineExceeded &&
       TimerService::Now() < aDeadline) {
@@ -128,7 +131,7 @@
   return aError;
 }
 
-// Makes the engine's request, which goes on from the given token.
+// Builds the request for an engine, which resumes at the given token.
 HttpRequest EngineRequest(const Generation& aGeneration,
                           std::uint64_t aNext,
                           int aPriority)
@@ -147,7 +150,7 @@
 
 } // namespace
 
-// How far a generation has come over all its attempts.
+// State of a generation across its attempts.
 struct ModelRunner::Progress
 {
   std::uint64_t next_ = 0; // index of the next token for the caller
@@ -176,24 +179,25 @@
 {
   Progress progress;
   AttemptErrors attempts;
-  // An engine that can't be reached or refuses costs nothing but a moment, and
-  // after a death several such stand in the list until polls notice. Only
-  // engines that took the request count as attempts, or a stream that meets one
-  // death and two dead engines would be cut with live ones left.
-  int broken = 0;
-  for (int attempt = 1;
-       broken < options_.maxAttempts_ && attempt <= options_.maxEngines_;
+  // Only engines that accepted the request count towards maxAttempts_. An
+  // unreachable engine costs little time, and after a crash several of them can
+  // stay in the list until polls detect it. If they counted, a stream that lost
+  // its engine and then tried two dead ones would fail although live engines
+  // are left.
+  int startedAttempts = 0;
+  for (int attempt = 1; startedAttempts < options_.maxAttempts_ &&
+                        attempt <= options_.maxEngines_;
        ++attempt) {
     auto placement =
       co_await broker_.Acquire(aGeneration.pool_, aGeneration.info_);
     const bool noneLeft =
       !placement && placement.error().code_ == ResultCode::kNoEndpoint;
     if (noneLeft && progress.next_ > 0) {
-      // Engines that replace the dead show with the next list, so the caller of
-      // a stream that has begun waits a moment. An engine that only cut the
-      // stream may serve it after all.
+      // Replacement engines appear with the next host list, so a stream that
+      // has begun waits for them. Clearing the exclusions allows a retry on an
+      // engine that only closed the stream.
       aGeneration.info_.excluded_.clear();
-      co_await TimerService::SleepFor(options_.noEnginePause_);
+      co_await TimerService::SleepFor(options_.noEndpointRetryInterval_);
       continue;
     }
     if (!placement) {
@@ -218,17 +222,19 @@
         failure.code_ == ResultCode::kCallerLeft) {
       break;
     }
-    const bool untaken = failure.ran_ == RanState::kNo;
-    broken += untaken ? 0 : 1;
+    const bool notExecuted = failure.ran_ == RanState::kNo;
+    startedAttempts += notExecuted ? 0 : 1;
     if (failure.code_ == ResultCode::kEndpointUnreachable) {
       tracker_.ReportFailure(name);
     }
-    NoteFailedAttempt(metrics_, aGeneration.requestId_, name, failure);
+    ReportFailedAttempt(metrics_, aGeneration.requestId_, name, failure);
     aGeneration.info_.excluded_.push_back(name);
-    // The budget keeps second tries from multiplying load. A try that no engine
-    // took made none; and a caller whose stream were refused here would send
-    // the whole request again, which is more than the rest of it.
-    aGeneration.info_.exemptFromRetryBudget_ = progress.next_ > 0 || untaken;
+    // The retry budget limits the load that retries add. An attempt that no
+    // engine executed added none. A stream that has begun is exempt as well:
+    // rejecting it would make the caller send the whole request again, which
+    // costs more than the remainder.
+    aGeneration.info_.exemptFromRetryBudget_ =
+      progress.next_ > 0 || notExecuted;
   }
   co_return attempts.FinalError();
 }
@@ -250,14 +256,14 @@
     firstTokenBy,
     options);
   if (!call) {
-    co_return FaultOfSilence(call.error(), deadline);
+    co_return ErrorForStall(call.error(), deadline);
   }
   const HttpResponse& head = call.value()->Head();
   if (head.Field("X-Endpoint-State") == "leaving" &&
       IsAnswerTo(head, aGeneration.requestId_)) {
     tracker_.ReportLeaving(aPlacement.Endpoint().name_);
   }
-  if (auto fault = FaultOfHead(head, aGeneration.requestId_)) {
+  if (auto fault = ErrorFromStatus(head, aGeneration.requestId_)) {
     if (fault->ran_ == RanState::kNo) {
       cancel.Disarm();
     }
@@ -269,7 +275,7 @@
     cancel.Disarm();
     co_return read;
   }
-  co_return FaultOfSilence(read.error(), deadline);
+  co_return ErrorForStall(read.error(), deadline);
 }
 
 asio::awaitable<Outcome<void>> ModelRunner::ReadStream(
@@ -279,35 +285,35 @@
   HttpCall& aCall,
   TokenSink& aSink)
 {
-  SseParser reader;
+  SseParser parser;
   bool ended = false;
   const std::uint64_t first = aProgress.next_;
   while (true) {
     if (aProgress.next_ > first) {
       aCall.SetDeadline(std::min(aGeneration.info_.deadline_,
-                                 TimerService::Now() + kTokenSilence));
+                                 TimerService::Now() + kTokenTimeout));
     }
-    auto piece = co_await aCall.ReadSome();
-    // Bytes behind the end marker are read so that the connection is clean;
-    // a fault there takes nothing from the caller's whole answer.
-    if (ended && (!piece || !piece.value())) {
+    auto chunk = co_await aCall.ReadSome();
+    // Bytes after the end marker are drained so that the connection can be
+    // reused. An error there does not affect the response, which is complete.
+    if (ended && (!chunk || !chunk.value())) {
       co_return boost::outcome_v2::success();
     }
-    if (!piece) {
-      co_return piece.error();
+    if (!chunk) {
+      co_return chunk.error();
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       co_return Error{ .code_ = ResultCode::kStreamCut,
                        .ran_ = RanState::kYes };
     }
-    reader.Feed(*piece.value());
-    while (auto data = reader.Next()) {
+    parser.Feed(*chunk.value());
+    while (auto data = parser.Next()) {
       if (*data == kEndMarker) {
         ended = true;
         break;
       }
       const auto taken =
-        co_await TakeToken(aGeneration, aProgress, aPlacement, *data, aSink);
+        co_await HandleToken(aGeneration, aProgress, aPlacement, *data, aSink);
       if (!taken) {
         co_return taken.error();
       }
@@ -321,7 +327,7 @@
   }
 }
 
-asio::awaitable<Outcome<void>> ModelRunner::TakeToken(
+asio::awaitable<Outcome<void>> ModelRunner::HandleToken(
   const Generation& aGeneration,
   Progress& aProgress,
   Placement& aPlacement,
@@ -331,22 +337,24 @@
   const json event = json::parse(aData, nullptr, false);
   if (!event.is_object() || !event.contains("choices")) {
     co_return Error{ .code_ = ResultCode::kEndpointBroken,
-                     .text_ = "an event is not a completion chunk",
+                     .text_ =
+                       "an event of the stream is not a completion chunk",
                      .ran_ = RanState::kYes };
   }
-  // An answer to another request, late or crossed, must not reach this caller:
-  // the engine echoes the request's identifier in every event.
+  // The engine echoes the request's id in every event. An event of another
+  // request, late or misrouted, must not reach this caller.
   if (event.value("id", "") != aGeneration.requestId_) {
     co_return Error{ .code_ = ResultCode::kEndpointCrossed,
                      .ran_ = RanState::kUnknown };
   }
   const std::uint64_t index = event.value("token_index", aProgress.next_);
   if (index < aProgress.next_) {
-    co_return boost::outcome_v2::success(); // resumed from an earlier token
+    // The engine resumed at an earlier token.
+    co_return boost::outcome_v2::success();
   }
   if (index > aProgress.next_) {
     co_return Error{ .code_ = ResultCode::kEndpointBroken,
-                     .text_ = "a token is missing",
+                     .text_ = "the stream skipped a token index",
                      .ran_ = RanState::kYes };
   }
   if (aProgress.next_++ == 0) {
--- a/src/runtime/gooseberrylift-once-ledger.cc
+++ b/src/runtime/gooseberrylift-once-ledger.cc
@@ -21,11 +21,12 @@
 
 namespace {
 
-// How often deadlines of operations are looked at while a call is under way.
-constexpr std::chrono::milliseconds kTick{ 10 };
+// Interval at which the deadlines of operations are checked while a store call
+// is in progress.
+constexpr std::chrono::milliseconds kDeadlineCheckInterval{ 10 };
 
-// A coroutine that waits for its reply. The timer never fires by itself;
-// cancelling it wakes the coroutine.
+// A coroutine waiting for its reply. The timer never expires; cancelling it
+// resumes the coroutine.
 struct Waiter
 {
   explicit Waiter(const asio::any_io_executor& aExecutor)
@@ -58,15 +59,17 @@
   {
     const bool starts = Queue(std::move(aOp), aWaiter);
     if (!starts) {
-      // The pump may be asleep until a time that is now too late.
+      // The running loop may be sleeping until a time that is too late for the
+      // new operation.
       asio::post(executor_,
                  [self = shared_from_this()] { self->wake_.cancel(); });
       return;
     }
-    // Not under the lock: co_spawn may run the pump's beginning at once.
+    // Must not be called under the lock, because co_spawn may start the loop
+    // immediately.
     SpawnTask(executor_,
               [self = shared_from_this()]() -> asio::awaitable<void> {
-                co_await self->Pump();
+                co_await self->RunStoreCalls();
               });
   }
 
@@ -79,20 +82,20 @@
   void Tick()
   {
     const std::lock_guard lock(mutex_);
-    if (pumping_) {
+    if (running_) {
       committer_.OnTick(TimerService::Now());
-      Deliver();
+      DeliverReplies();
     }
   }
 
   bool Idle() const
   {
     const std::lock_guard lock(mutex_);
-    return !pumping_;
+    return !running_;
   }
 
 private:
-  // @return true when the pump must be started
+  // @return true if the caller must start the loop
   bool Queue(OnceOp aOp, const std::shared_ptr<Waiter>& aWaiter)
   {
     const std::lock_guard lock(mutex_);
@@ -100,7 +103,7 @@
     if (aWaiter) {
       waiters_.emplace(id, aWaiter);
     }
-    return !std::exchange(pumping_, true);
+    return !std::exchange(running_, true);
   }
 
   struct Step
@@ -109,8 +112,8 @@
     std::optional<TimePoint> wake_;
   };
 
-  // Makes the committer's calls until it has no work.
-  asio::awaitable<void> Pump()
+  // Executes the committer's store calls until it has no more work.
+  asio::awaitable<void> RunStoreCalls()
   {
     while (true) {
       Step step = NextStep();
@@ -133,10 +136,10 @@
       .io_ = committer_.NextIo(TimerService::Now(),
                                std::chrono::system_clock::now()),
     };
-    Deliver();
+    DeliverReplies();
     if (!step.io_) {
       step.wake_ = committer_.WakeAt();
-      pumping_ = step.wake_.has_value();
+      running_ = step.wake_.has_value();
     }
     return step;
   }
@@ -146,7 +149,7 @@
     const TimePoint deadline = TimerService::Now() + callTimeout_;
     if (aIo.kind_ == OnceIoKind::kRead) {
       const auto read = co_await store_.Read(kOnceKind, name_, deadline);
-      NoteRead(read);
+      OnReadDone(read);
       co_return;
     }
     StoreObject object{ .kind_ = kOnceKind,
@@ -155,14 +158,14 @@
                         .spec_ = std::move(aIo.spec_) };
     if (aIo.kind_ == OnceIoKind::kCreate) {
       const auto made = co_await store_.Create(std::move(object), deadline);
-      NoteWrite(made);
+      OnWriteDone(made);
       co_return;
     }
     const auto updated = co_await store_.Update(std::move(object), deadline);
-    NoteWrite(updated);
+    OnWriteDone(updated);
   }
 
-  void NoteRead(const Outcome<StoreObject>& aRead)
+  void OnReadDone(const Outcome<StoreObject>& aRead)
   {
     const std::lock_guard lock(mutex_);
     if (aRead) {
@@ -172,10 +175,10 @@
     } else {
       committer_.OnFailed(RanState::kNo, TimerService::Now());
     }
-    Deliver();
+    DeliverReplies();
   }
 
-  void NoteWrite(const Outcome<StoreObject>& aWritten)
+  void OnWriteDone(const Outcome<StoreObject>& aWritten)
   {
     const std::lock_guard lock(mutex_);
     if (aWritten) {
@@ -186,11 +189,11 @@
     } else {
       committer_.OnFailed(aWritten.error().ran_, TimerService::Now());
     }
-    Deliver();
+    DeliverReplies();
   }
 
-  // Hands replies to their waiters. Called under the lock.
-  void Deliver()
+  // Passes replies to their waiters. Requires mutex_ to be held.
+  void DeliverReplies()
   {
     for (OnceReply& reply : committer_.TakeReplies()) {
       const auto found = waiters_.find(reply.id_);
@@ -208,12 +211,12 @@
   ObjectStore& store_;
   asio::any_io_executor executor_;
   std::string name_;
-  asio::steady_timer wake_; // used on the strand alone
+  asio::steady_timer wake_; // used only on the strand
   std::chrono::milliseconds callTimeout_;
   mutable std::mutex mutex_;
   OnceCommitter committer_;
   std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters_;
-  bool pumping_ = false;
+  bool running_ = false;
 };
 
 OnceLedger::OnceLedger(ObjectStore& aStore,
@@ -224,11 +227,12 @@
     shards_.push_back(std::make_shared<Shard>(
       aStore, aExecutor, "bucket-" + std::to_string(bucket), aOptions));
   }
-  tick_ = TimerService::Every(kTick, aExecutor, [shards = shards_] {
-    for (const auto& shard : shards) {
-      shard->Tick();
-    }
-  });
+  tick_ =
+    TimerService::Every(kDeadlineCheckInterval, aExecutor, [shards = shards_] {
+      for (const auto& shard : shards) {
+        shard->Tick();
+      }
+    });
 }
 
 OnceLedger::~OnceLedger() = default;
--- a/src/runtime/gooseberrylift-once-runner.cc
+++ b/src/runtime/gooseberrylift-once-runner.cc
@@ -28,7 +28,7 @@
 {
   kBeforeDispatch,
   kDispatched, // bytes may have gone out
-  kAbandoned   // the caller was told "not run"
+  kAbandoned   // the caller was told that the call did not run
 };
 
 std::string EncodeResult(const HttpResponse& aResponse)
@@ -40,7 +40,8 @@
   json result = json::object();
   result["status"] = aResponse.status_;
   result["fields"] = std::move(fields);
-  // Both in base64: header fields and bodies need not be UTF-8.
+  // Both parts are encoded in base64, because header fields and bodies may not
+  // be valid UTF-8.
   const std::string head =
     result.dump(-1, ' ', false, json::error_handler_t::replace);
   return EncodeBase64(head) + "." + EncodeBase64(aResponse.body_);
@@ -73,7 +74,7 @@
 
 } // namespace
 
-// What the caller's coroutine and the call's own one share.
+// State shared by the caller's coroutine and the coroutine that runs the call.
 struct OnceRunner::Attempt
 {
   Attempt(ServiceCall aCall, const asio::any_io_executor& aCaller)
@@ -83,15 +84,16 @@
   {
   }
 
-  // The one place where "not run" and "dispatched" exclude each other: the
-  // caller is told `ran: no` only if this can't succeed any more.
+  // Makes "not run" and "dispatched" mutually exclusive: the caller is told
+  // `ran: no` only if this function can no longer succeed.
   //
-  // The process may be stopped between this check and the send and go on much
-  // later. That is still the only dispatch: the intent in the store belongs to
-  // this attempt for good, and a lapsed one makes every other host answer
-  // `unknown`, never run the call. The client looks at the clock once more
-  // after connecting, so what can go out late is a send already begun.
-  bool EnterDispatch()
+  // The process may be suspended between this check and the send and resume
+  // much later. The call is still dispatched only once: the intent in the store
+  // belongs to this attempt permanently, and after its lease expires every
+  // other host answers `unknown` and never runs the call. The client checks the
+  // deadline again after connecting, so only a send that has already begun can
+  // go out late.
+  bool TryBeginDispatch()
   {
     const std::lock_guard lock(mutex_);
     if (phase_ == Phase::kAbandoned || TimerService::Now() >= deadline_) {
@@ -101,7 +103,8 @@
     return true;
   }
 
-  // Gives up waiting.
+  // Stops waiting for the outcome. Returns kNo if the call can no longer be
+  // dispatched, else kUnknown.
   RanState Abandon()
   {
     const std::lock_guard lock(mutex_);
@@ -139,7 +142,7 @@
   TimePoint deadline_;
   OnceIntent intent_{};
   std::size_t bucket_ = 0;
-  asio::steady_timer timer_; // on the caller's executor; cancelled to wake it
+  asio::steady_timer timer_; // on the caller's executor; cancelled to resume it
 
 private:
   mutable std::mutex mutex_;
@@ -178,17 +181,19 @@
                        .until_ =
                          std::chrono::system_clock::now() +
                          std::chrono::duration_cast<milliseconds>(lease) +
-                         options_.leaseSlack_ };
+                         options_.leaseMargin_ };
   ++active_;
-  SpawnTask(
-    asio::make_strand(executor_),
-    [this, attempt]() -> asio::awaitable<void> { co_await Work(attempt); });
+  SpawnTask(asio::make_strand(executor_),
+            [this, attempt]() -> asio::awaitable<void> {
+              co_await RunAttempt(attempt);
+            });
   co_await attempt->timer_.async_wait(asio::as_tuple(asio::use_awaitable));
   auto answer = attempt->TakeAnswer();
   if (answer) {
     co_return std::move(*answer);
   }
-  // Woken by the exchange: its deadline passed or the caller left.
+  // Resumed by the caller's HTTP exchange: the deadline passed or the caller
+  // disconnected.
   const RanState ran = attempt->Abandon();
   co_return Error{ .code_ = TimerService::Now() >= attempt->deadline_
                               ? ResultCode::kDeadlineExceeded
@@ -201,36 +206,37 @@
   return active_ == 0 && ledger_.Idle();
 }
 
-asio::awaitable<void> OnceRunner::Work(std::shared_ptr<Attempt> aAttempt)
+asio::awaitable<void> OnceRunner::RunAttempt(std::shared_ptr<Attempt> aAttempt)
 {
   const OnceReply claim = co_await Claim(aAttempt);
   const bool begun =
     claim.committed_ && claim.decision_.verdict_ == OnceVerdict::kBegun;
   if (begun) {
     auto outcome = co_await Dispatch(aAttempt);
-    Record(*aAttempt, outcome);
+    RecordOutcome(*aAttempt, outcome);
     aAttempt->Answer(std::move(outcome));
   } else {
-    aAttempt->Answer(AnswerOf(claim));
+    aAttempt->Answer(ResponseFor(claim));
   }
   asio::post(aAttempt->timer_.get_executor(),
              [aAttempt] { aAttempt->timer_.cancel(); });
   --active_;
 }
 
-// Writes the intent. While another attempt's outcome is still to come, waits
-// for it; if that attempt is released, this one may begin after all.
+// Writes the intent. While another attempt with the same key is pending, waits
+// for its outcome; if that attempt is released without having run, this one can
+// begin.
 asio::awaitable<OnceReply> OnceRunner::Claim(std::shared_ptr<Attempt> aAttempt)
 {
-  milliseconds pause = options_.firstPoll_;
+  milliseconds pause = options_.initialPollInterval_;
   OnceReply reply;
   while (true) {
-    // A store that does not answer takes at most half of what is left, so that
-    // the refusal comes well before the deadline.
+    // Limits the wait for the store to half of the remaining time, so that the
+    // caller gets the rejection well before its deadline.
     const TimePoint now = TimerService::Now();
     const auto half = (aAttempt->deadline_ - now) / 2;
     const auto limit =
-      std::min<TimePoint::duration>(half, options_.storeLimit_);
+      std::min<TimePoint::duration>(half, options_.intentTimeout_);
     OnceOp op = aAttempt->MakeOp(OnceOpKind::kBegin, now + limit);
     reply = co_await ledger_.Commit(aAttempt->bucket_, std::move(op));
     const bool waits =
@@ -240,7 +246,7 @@
       break;
     }
     co_await TimerService::SleepFor(pause);
-    pause = std::min(pause * 2, options_.lastPoll_);
+    pause = std::min(pause * 2, options_.maxPollInterval_);
   }
   co_return reply;
 }
@@ -250,63 +256,64 @@
 {
   ServiceCall call = std::move(aAttempt->call_);
   call.repeatable_ = false;
-  call.mayDispatch_ = [aAttempt] { return aAttempt->EnterDispatch(); };
+  call.mayDispatch_ = [aAttempt] { return aAttempt->TryBeginDispatch(); };
   auto answer = co_await services_.Run(std::move(call));
   if (!answer) {
     co_return answer.error();
   }
-  auto whole = co_await ReadAnswer(*answer.value().call_);
+  auto response = co_await ReadResponse(*answer.value().call_);
   answer.value().placement_.Finish(
-    { .succeeded_ = whole.has_value(), .endpointAtFault_ = !whole });
-  co_return whole;
+    { .succeeded_ = response.has_value(), .endpointAtFault_ = !response });
+  co_return response;
 }
 
-asio::awaitable<Outcome<HttpResponse>> OnceRunner::ReadAnswer(HttpCall& aCall)
+asio::awaitable<Outcome<HttpResponse>> OnceRunner::ReadResponse(HttpCall& aCall)
 {
   HttpResponse response = aCall.Head();
   while (true) {
-    auto piece = co_await aCall.ReadSome();
-    if (!piece) {
-      // The head came, so the call has run, whatever became of its answer.
-      Error error = piece.error();
+    auto chunk = co_await aCall.ReadSome();
+    if (!chunk) {
+      // The head was received, so the call has run even if the body is lost.
+      Error error = chunk.error();
       error.ran_ = RanState::kYes;
       co_return error;
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       co_return response;
     }
-    response.body_ += *piece.value();
-    if (response.body_.size() > options_.maxAnswerBytes_) {
+    response.body_ += *chunk.value();
+    if (response.body_.size() > options_.maxResponseBytes_) {
       co_return Error{ .code_ = ResultCode::kEndpointBroken,
-                       .text_ = "the answer is over 16 MB",
+                       .text_ = "the response is larger than 16 MiB",
                        .ran_ = RanState::kYes };
     }
   }
 }
 
-// Writes down how an attempt ended. The caller's answer doesn't wait for it: a
-// duplicate that comes first waits for the record, and if this host dies
-// before, it is told `unknown`, which is true.
-void OnceRunner::Record(const Attempt& aAttempt,
-                        const Outcome<HttpResponse>& aOutcome)
+// Records the outcome of an attempt. The response to the caller does not wait
+// for this write: a duplicate that arrives earlier waits for the record, and if
+// this host crashes first, the duplicate is answered with `unknown`.
+void OnceRunner::RecordOutcome(const Attempt& aAttempt,
+                               const Outcome<HttpResponse>& aOutcome)
 {
-  const TimePoint until = TimerService::Now() + options_.recordFor_;
+  const TimePoint until = TimerService::Now() + options_.recordTimeout_;
   if (!aOutcome && aOutcome.error().ran_ == RanState::kNo) {
     ledger_.Post(aAttempt.bucket_,
                  aAttempt.MakeOp(OnceOpKind::kRelease, until));
     return;
   }
   OnceOp op = aAttempt.MakeOp(OnceOpKind::kFinish, until);
-  op.writeAt_ = TimerService::Now() + options_.recordAfter_;
+  op.writeAt_ = TimerService::Now() + options_.recordBatchDelay_;
   const bool ran = aOutcome || aOutcome.error().ran_ == RanState::kYes;
   op.state_ = ran ? OnceState::kDone : OnceState::kLost;
-  if (aOutcome && aOutcome.value().body_.size() <= options_.maxResultBytes_) {
+  if (aOutcome &&
+      aOutcome.value().body_.size() <= options_.maxStoredResultBytes_) {
     op.result_ = EncodeResult(aOutcome.value());
   }
   ledger_.Post(aAttempt.bucket_, std::move(op));
 }
 
-Outcome<HttpResponse> OnceRunner::AnswerOf(const OnceReply& aReply) const
+Outcome<HttpResponse> OnceRunner::ResponseFor(const OnceReply& aReply) const
 {
   constexpr milliseconds kRetryAfter{ 1000 };
   if (!aReply.committed_) {
--- a/src/runtime/gooseberrylift-peer-exchange.cc
+++ b/src/runtime/gooseberrylift-peer-exchange.cc
@@ -21,8 +21,8 @@
 // Initial interval between rounds of a host that knows no live peer, doubled
 // each round up to the limit. Keeps a fleet that starts at once from
 // overloading its seeds.
-constexpr milliseconds kRoundAlone{ 50 };
-constexpr int kMostDoublingsAlone = 3;
+constexpr milliseconds kInitialRoundWithoutPeers{ 50 };
+constexpr int kMaxRoundDoublings = 3;
 
 std::uint64_t IncarnationOfNow()
 {
@@ -31,7 +31,7 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-// The names of a member's fields.
+// Field names of a serialized member.
 constexpr const char* kHost = "h";
 constexpr const char* kZone = "z";
 constexpr const char* kRegion = "r";
@@ -47,7 +47,7 @@
            { kIncarnation, aMember.incarnation_ } };
 }
 
-// Throws a json::exception when it is of another form.
+// Throws json::exception if a field is missing or of the wrong type.
 PeerMember MemberFromJson(const json& aDocument)
 {
   return { .host_ = aDocument.at(kHost),
@@ -98,11 +98,12 @@
   , options_(aOptions)
   , rpc_(parts_.client_, { .host_ = parts_.settings_.hostName_, .keys_ = {} })
 {
-  rpc_.Add("exchange", [this](const json& aParams) { return Answer(aParams); });
+  rpc_.Add("exchange",
+           [this](const json& aParams) { return HandleExchange(aParams); });
   rpc_.Add("configuration",
-           [this](const json& /*aParams*/) { return AnswerConfiguration(); });
+           [this](const json& /*aParams*/) { return HandleConfiguration(); });
   rpc_.Add("members",
-           [this](const json& /*aParams*/) { return AnswerMembers(); });
+           [this](const json& /*aParams*/) { return HandleMembers(); });
 }
 
 void PeerExchange::Start(std::uint16_t aPort,
@@ -131,7 +132,7 @@
                         .roundFanout_ = options_.roundFanout_,
                         .relayedPerMessage_ = options_.relayed_,
                         .roundsUntilExpired_ = options_.roundsUntilExpired_ });
-  Refresh();
+  UpdateOwnDigest();
   started_ = true;
   SpawnTask(parts_.executor_, RunRounds());
   SpawnTask(parts_.executor_, RunMembership());
@@ -139,7 +140,7 @@
 
 asio::awaitable<void> PeerExchange::Handle(HttpExchange& aExchange)
 {
-  // Without its keys a host can't tell a peer from a stranger.
+  // Before Start the host has no keys to authenticate peers with.
   if (!started_) {
     HttpResponse refusal =
       ErrorResponse(MakeError(ResultCode::kPeerRefused), {});
@@ -168,22 +169,22 @@
 asio::awaitable<void> PeerExchange::RunRounds()
 {
   while (true) {
-    Refresh();
+    UpdateOwnDigest();
     std::vector<PeerMember> peers;
     {
       const std::lock_guard lock(mutex_);
       peers = table_->SelectPeers();
-      // Also where those known have all fallen silent.
+      // Seeds are also asked when all known peers have expired.
       if (table_->Live(TimerService::Now()).empty()) {
         const std::vector<PeerMember> seeds = SeedPeers();
-        if (roundsAlone_ == 0) {
+        if (roundsWithoutPeers_ == 0) {
           peers.insert(peers.end(), seeds.begin(), seeds.end());
         } else if (!seeds.empty()) {
-          peers.push_back(seeds[roundsAlone_ % seeds.size()]);
+          peers.push_back(seeds[roundsWithoutPeers_ % seeds.size()]);
         }
-        ++roundsAlone_;
+        ++roundsWithoutPeers_;
       } else {
-        roundsAlone_ = 0;
+        roundsWithoutPeers_ = 0;
       }
     }
     StartExchanges(peers);
@@ -192,14 +193,15 @@
   }
 }
 
-// A host that has just started asks often until another one answers: before, it
-// places requests without knowing what others have placed.
+// A host that has just started uses short rounds until a peer answers, because
+// until then it places requests without knowing the load that other hosts have
+// placed.
 milliseconds PeerExchange::Round() const
 {
-  if (alone_ && !parts_.settings_.peerSeeds_.empty()) {
+  if (noLivePeers_ && !parts_.settings_.peerSeeds_.empty()) {
     const int doublings =
-      std::min(static_cast<int>(roundsAlone_), kMostDoublingsAlone);
-    return kRoundAlone * (1 << doublings);
+      std::min(static_cast<int>(roundsWithoutPeers_), kMaxRoundDoublings);
+    return kInitialRoundWithoutPeers * (1 << doublings);
   }
   const std::lock_guard lock(mutex_);
   return table_->Round();
@@ -217,10 +219,11 @@
 {
   std::mt19937_64 random(self_.incarnation_);
   if (!parts_.settings_.peerSeeds_.empty()) {
-    co_await TimerService::SleepFor(options_.seedsWithin_);
+    co_await TimerService::SleepFor(options_.seedGracePeriod_);
   }
-  // Hosts that start together read the list before the others wrote it, so it
-  // is read again soon, and then less and less often.
+  // Hosts that start at the same time read the list before the others have
+  // written to it, so it is read again soon, with exponentially growing
+  // intervals.
   auto next = options_.joinRetry_ * 2;
   while (true) {
     const bool joined = co_await Join();
@@ -229,33 +232,35 @@
       pause = next;
       next = std::min(next * 2, options_.listPeriod_);
     }
-    // Spread, so that hosts that lost the store together don't return so.
+    // Jitter keeps hosts that lost the store at the same time from returning at
+    // the same time.
     pause += std::chrono::milliseconds(random() % (pause.count() / 2 + 1));
     co_await TimerService::SleepFor(pause);
   }
 }
 
-// The store's list costs each host some calls and, since hosts of a zone write
-// one object, many more where they start together. So only those that others
-// are to find there are listed, and the rest hear of the fleet from each other.
+// Joining the store's list costs each host several calls, and many more when
+// the hosts of a zone start at the same time, because they all update the same
+// object and conflict. Therefore only the hosts selected by isListed_ join the
+// list; the others learn the members from peers.
 asio::awaitable<bool> PeerExchange::Join()
 {
   if (!parts_.isListed_) {
-    co_return co_await JoinList();
+    co_return co_await JoinStoreList();
   }
-  const bool heard = co_await AskForMembers();
-  const bool fresh = heard && TimerService::Now() < listAgainAt_;
+  const bool heard = co_await FetchMembers();
+  const bool fresh = heard && TimerService::Now() < nextListRead_;
   if (fresh || !parts_.isListed_()) {
     co_return heard;
   }
-  const bool joined = co_await JoinList();
+  const bool joined = co_await JoinStoreList();
   if (joined) {
-    listAgainAt_ = TimerService::Now() + options_.listPeriod_;
+    nextListRead_ = TimerService::Now() + options_.listPeriod_;
   }
   co_return joined;
 }
 
-asio::awaitable<bool> PeerExchange::AskForMembers()
+asio::awaitable<bool> PeerExchange::FetchMembers()
 {
   std::vector<PeerMember> heard;
   {
@@ -280,14 +285,14 @@
       members.push_back(MemberFromJson(item));
     }
   } catch (const json::exception&) {
-    co_return false; // the peer speaks another version
+    co_return false; // the peer uses another version of the protocol
   }
   const std::lock_guard lock(mutex_);
   table_->OnMembers(members, TimerService::Now());
   co_return true;
 }
 
-json PeerExchange::AnswerMembers() const
+json PeerExchange::HandleMembers() const
 {
   json members = json::array();
   const std::lock_guard lock(mutex_);
@@ -300,7 +305,7 @@
   return answer;
 }
 
-asio::awaitable<bool> PeerExchange::JoinList()
+asio::awaitable<bool> PeerExchange::JoinStoreList()
 {
   std::set<std::string> live;
   {
@@ -324,9 +329,9 @@
   co_return true;
 }
 
-// A host that starts while the store is down can read no list of members; the
-// addresses in its settings then lead it to the others and, through them, to
-// the configuration in force.
+// A host that starts while the store is down can't read the list of members. It
+// reaches its peers, and through them the configuration in force, by the seed
+// addresses in its settings.
 std::vector<PeerMember> PeerExchange::SeedPeers() const
 {
   std::vector<PeerMember> seeds;
@@ -359,38 +364,38 @@
                        std::move(message),
                        TimerService::Now() + options_.callTimeout_);
   if (answer) {
-    TakeIn(MessageFromJson(answer.value()));
+    HandleMessage(MessageFromJson(answer.value()));
   }
 }
 
-json PeerExchange::Answer(const json& aParams)
+json PeerExchange::HandleExchange(const json& aParams)
 {
   const PeerMessage message = MessageFromJson(aParams);
-  TakeIn(message);
+  HandleMessage(message);
   const std::lock_guard lock(mutex_);
   return MessageToJson(table_->MakeMessage(message.from_.zone_));
 }
 
-void PeerExchange::TakeIn(const PeerMessage& aMessage)
+void PeerExchange::HandleMessage(const PeerMessage& aMessage)
 {
   if (aMessage.from_.host_.empty()) {
     return;
   }
   bool fetch = false;
-  PeerMergeResult news;
+  PeerMergeResult merged;
   {
     const std::lock_guard lock(mutex_);
-    news = table_->OnMessage(aMessage, TimerService::Now());
+    merged = table_->OnMessage(aMessage, TimerService::Now());
     fetch = parts_.offer_ && !fetching_ &&
-            news.generation_ > table_->Own().generation_;
+            merged.generation_ > table_->Own().generation_;
     fetching_ = fetching_ || fetch;
   }
   if (fetch) {
     SpawnTask(parts_.executor_, FetchConfiguration(MemberOf(aMessage.from_)));
   }
-  const bool urgent = !options_.publishesInRounds_ || alone_ ||
+  const bool urgent = !options_.publishesInRounds_ || noLivePeers_ ||
                       !aMessage.from_.quarantine_.empty();
-  if (news.changed_ && urgent) {
+  if (merged.changed_ && urgent) {
     Publish();
   }
 }
@@ -414,7 +419,7 @@
   }
 }
 
-json PeerExchange::AnswerConfiguration() const
+json PeerExchange::HandleConfiguration() const
 {
   OfferedConfiguration offered;
   if (parts_.configuration_) {
@@ -426,18 +431,18 @@
   return answer;
 }
 
-// News goes out at once instead of with the next round, so that it crosses the
-// fleet in round trips, not in rounds.
+// Sending at once lets a configuration spread through the fleet in a few round
+// trips instead of a few rounds.
 void PeerExchange::TellNews()
 {
   if (!started_) {
     return;
   }
-  Refresh();
+  UpdateOwnDigest();
   std::vector<PeerMember> peers;
   {
     const std::lock_guard lock(mutex_);
-    peers = table_->SelectOutdatedPeers(options_.newsFanout_);
+    peers = table_->SelectOutdatedPeers(options_.configurationFanout_);
   }
   StartExchanges(peers);
 }
@@ -447,16 +452,16 @@
   if (!started_) {
     return;
   }
-  Refresh();
+  UpdateOwnDigest();
   std::vector<PeerMember> peers;
   {
     const std::lock_guard lock(mutex_);
-    peers = table_->SelectPeersInScope(options_.nearFanout_);
+    peers = table_->SelectPeersInScope(options_.scopeFanout_);
   }
   StartExchanges(peers);
 }
 
-void PeerExchange::Refresh()
+void PeerExchange::UpdateOwnDigest()
 {
   Digest own = parts_.own_();
   const std::lock_guard lock(mutex_);
@@ -473,7 +478,7 @@
     live = table_->Live(TimerService::Now());
     known = table_->EstimateOtherHosts();
   }
-  alone_ = live.empty();
+  noLivePeers_ = live.empty();
   parts_.publish_({ .digests_ = std::move(live), .known_ = known });
 }
 
--- a/src/runtime/gooseberrylift-pool-broker.cc
+++ b/src/runtime/gooseberrylift-pool-broker.cc
@@ -16,20 +16,21 @@
 
 namespace {
 
-// How often waiting requests are looked at for their deadlines.
-constexpr std::chrono::milliseconds kTick{ 10 };
+// Interval at which the deadlines of waiting requests are checked.
+constexpr std::chrono::milliseconds kDeadlineCheckInterval{ 10 };
 
-// How often the demand of teams is published to the peers.
-constexpr std::chrono::milliseconds kPublish{ 1000 };
+// Interval at which the demand of teams is published to peers.
+constexpr std::chrono::milliseconds kPublishInterval{ 1000 };
 
-// A team over its limit is back under it within seconds.
-constexpr std::int64_t kLeastRetryMs = 500;
-constexpr std::int64_t kMostRetryMs = 3000;
+// Bounds of the retry delay of a team over its limit, which is usually below it
+// again within seconds.
+constexpr std::int64_t kMinRetryMs = 500;
+constexpr std::int64_t kMaxRetryMs = 3000;
 
 std::atomic<std::uint64_t> sNextId = 1;
 
-// A coroutine that waits for its decision. The timer never fires by itself;
-// cancelling it wakes the coroutine.
+// A coroutine waiting for its scheduling decision. The timer never expires;
+// cancelling it resumes the coroutine.
 struct Waiter
 {
   explicit Waiter(const asio::any_io_executor& aExecutor)
@@ -40,7 +41,7 @@
   std::optional<SchedulerAction> action_; // guarded by the shard's lock
 };
 
-std::map<std::string, std::vector<EndpointView>> ByPool(
+std::map<std::string, std::vector<EndpointView>> GroupByPool(
   const EndpointsState& aState)
 {
   std::map<std::string, std::vector<EndpointView>> byPool;
@@ -68,7 +69,7 @@
       endpoints_.emplace(view.name_, view);
     }
     scheduler_.SetEndpoints(std::move(aViews), TimerService::Now());
-    Deliver();
+    DeliverDecisions();
   }
 
   void Configure(Scheduler::Options aOptions)
@@ -87,40 +88,41 @@
   {
     const std::lock_guard lock(mutex_);
     scheduler_.OnTick(TimerService::Now());
-    Deliver();
+    DeliverDecisions();
   }
 
   void FirstToken(std::uint64_t aId)
   {
     const std::lock_guard lock(mutex_);
     scheduler_.OnFirstToken(aId, TimerService::Now());
-    Deliver();
+    DeliverDecisions();
   }
 
   void Finish(std::uint64_t aId, const RequestOutcome& aOutcome)
   {
     const std::lock_guard lock(mutex_);
     scheduler_.OnFinished(aId, aOutcome, TimerService::Now());
-    Deliver();
+    DeliverDecisions();
   }
 
-  void Enter(const RequestInfo& aInfo, const std::shared_ptr<Waiter>& aWaiter)
+  void Enqueue(const RequestInfo& aInfo, const std::shared_ptr<Waiter>& aWaiter)
   {
     const std::lock_guard lock(mutex_);
     waiters_.emplace(aInfo.id_, aWaiter);
     scheduler_.OnRequest(aInfo, TimerService::Now());
-    Deliver();
+    DeliverDecisions();
   }
 
-  // Ends a wait. A decision that came at the same moment as the caller's
-  // leaving is handed over all the same, so that its place is given back.
-  std::optional<SchedulerAction> Leave(std::uint64_t aId, const Waiter& aWaiter)
+  // Ends the wait of a request. A decision made while the caller was leaving is
+  // still returned, so that the caller of this function releases its slot.
+  std::optional<SchedulerAction> StopWaiting(std::uint64_t aId,
+                                             const Waiter& aWaiter)
   {
     const std::lock_guard lock(mutex_);
     if (!aWaiter.action_) {
       waiters_.erase(aId);
       scheduler_.OnCancelled(aId, TimerService::Now());
-      Deliver();
+      DeliverDecisions();
     }
     return aWaiter.action_;
   }
@@ -140,8 +142,9 @@
   }
 
 private:
-  // Hands the scheduler's decisions to their waiters. Called under the lock.
-  void Deliver()
+  // Passes the scheduler's decisions to their waiters. Requires mutex_ to be
+  // held.
+  void DeliverDecisions()
   {
     for (SchedulerAction& action : scheduler_.TakeActions()) {
       const auto found = waiters_.find(action.id_);
@@ -220,9 +223,10 @@
     [this](const BlackboardSection<PeersState>::Snapshot& aState) {
       OnPeers(*aState);
     });
-  tick_ = TimerService::Every(kTick, executor_, [this] { Tick(); });
-  publish_ =
-    TimerService::Every(kPublish, executor_, [this] { PublishDemand(); });
+  tick_ =
+    TimerService::Every(kDeadlineCheckInterval, executor_, [this] { Tick(); });
+  publish_ = TimerService::Every(
+    kPublishInterval, executor_, [this] { PublishDemand(); });
 }
 
 PoolBroker::~PoolBroker() = default;
@@ -230,16 +234,16 @@
 asio::awaitable<Outcome<Placement>> PoolBroker::Acquire(std::string aPool,
                                                         RequestInfo aInfo)
 {
-  if (auto refusal = TakeTeamTokens(aInfo)) {
+  if (auto refusal = AcquireTeamTokens(aInfo)) {
     co_return std::move(*refusal);
   }
   aInfo.id_ = sNextId++;
   const std::shared_ptr<PoolShard> shard = ShardOf(aPool);
   const auto waiter =
     std::make_shared<Waiter>(co_await asio::this_coro::executor);
-  shard->Enter(aInfo, waiter);
+  shard->Enqueue(aInfo, waiter);
   co_await waiter->timer_.async_wait(asio::as_tuple(asio::use_awaitable));
-  const auto action = shard->Leave(aInfo.id_, *waiter);
+  const auto action = shard->StopWaiting(aInfo.id_, *waiter);
   if (!action) {
     co_return Error{ .code_ = ResultCode::kCallerLeft };
   }
@@ -270,14 +274,15 @@
   }
   auto shard = std::make_shared<PoolShard>(OptionsOf(aPool));
   shard->SetHostCount(board_.peers_.Read()->digests_.size() + 1);
-  // A shard in the map is used at once by others. Were its endpoints set after,
-  // the first requests of a pool would be refused with "no live endpoint".
-  shard->SetEndpoints(std::move(ByPool(*board_.endpoints_.Read())[aPool]));
+  // Set before the shard is inserted into the map, where other threads use it
+  // at once. Otherwise the first requests of a pool would be rejected with "no
+  // live endpoint".
+  shard->SetEndpoints(std::move(GroupByPool(*board_.endpoints_.Read())[aPool]));
   {
     const std::unique_lock lock(mutex_);
     shard = shards_.emplace(aPool, shard).first->second;
   }
-  UpdateEndpoints(); // those that changed before the shard was in the map
+  UpdateEndpoints(); // covers changes made before the insertion
   return shard;
 }
 
@@ -299,8 +304,8 @@
   return options;
 }
 
-// A second try was counted with the first.
-std::optional<Error> PoolBroker::TakeTeamTokens(const RequestInfo& aInfo)
+// Retries are not counted again: the first attempt took the tokens.
+std::optional<Error> PoolBroker::AcquireTeamTokens(const RequestInfo& aInfo)
 {
   if (!aInfo.IsFirstAttempt()) {
     return std::nullopt;
@@ -310,8 +315,7 @@
   if (limiter_.TryAcquire(aInfo.team_, tokens, TimerService::Now())) {
     return std::nullopt;
   }
-  std::uniform_int_distribution<std::int64_t> spread(kLeastRetryMs,
-                                                     kMostRetryMs);
+  std::uniform_int_distribution<std::int64_t> spread(kMinRetryMs, kMaxRetryMs);
   return Error{ .code_ = ResultCode::kTeamLimit,
                 .ran_ = RanState::kNo,
                 .retryAfter_ = std::chrono::milliseconds(spread(random_)) };
@@ -365,12 +369,12 @@
   }
 }
 
-// Two updates at once could end with the older one. The lock keeps their order,
-// and each reads the board's latest under it.
+// Concurrent updates could leave the older snapshot in place. Each update
+// therefore reads the latest snapshot while it holds the lock.
 void PoolBroker::UpdateEndpoints()
 {
   const std::lock_guard order(endpointsMutex_);
-  auto byPool = ByPool(*board_.endpoints_.Read());
+  auto byPool = GroupByPool(*board_.endpoints_.Read());
   const std::shared_lock lock(mutex_);
   for (const auto& [name, shard] : shards_) {
     shard->SetEndpoints(std::move(byPool[name]));
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -20,7 +20,7 @@
 {
 }
 
-asio::awaitable<Outcome<ServiceAnswer>> ServiceRunner::Run(ServiceCall aCall)
+asio::awaitable<Outcome<ServiceResponse>> ServiceRunner::Run(ServiceCall aCall)
 {
   AttemptErrors attempts;
   for (int attempt = 1; attempt <= options_.maxAttempts_; ++attempt) {
@@ -32,23 +32,23 @@
     const std::string name = placement.value().Endpoint().name_;
     auto call = co_await Attempt(aCall, placement.value().Endpoint());
     if (call) {
-      co_return ServiceAnswer{ .call_ = std::move(call.value()),
-                               .placement_ = std::move(placement.value()) };
+      co_return ServiceResponse{ .call_ = std::move(call.value()),
+                                 .placement_ = std::move(placement.value()) };
     }
     const Error& failure = call.error();
     attempts.OnFailed(failure);
     placement.value().Finish(
       { .endpointAtFault_ = failure.code_ != ResultCode::kCallerLeft });
-    const bool untaken = failure.ran_ == RanState::kNo;
-    if ((!untaken && !aCall.repeatable_) ||
+    const bool notExecuted = failure.ran_ == RanState::kNo;
+    if ((!notExecuted && !aCall.repeatable_) ||
         failure.code_ == ResultCode::kCallerLeft ||
         failure.code_ == ResultCode::kDeadlineExceeded) {
       break;
     }
-    NoteFailedAttempt(metrics_, aCall.requestId_, name, failure);
+    ReportFailedAttempt(metrics_, aCall.requestId_, name, failure);
     aCall.info_.excluded_.push_back(name);
     aCall.info_.exemptFromRetryBudget_ =
-      untaken; // it made no load on an endpoint
+      notExecuted; // it put no load on an endpoint
   }
   co_return attempts.FinalError();
 }
@@ -57,9 +57,9 @@
   const ServiceCall& aCall,
   const EndpointView& aEndpoint)
 {
-  // A kept connection may have been closed by the other side just now, and a
-  // call that dies on it may or may not have run. A call that can't be
-  // repeated therefore gets a connection of its own.
+  // The endpoint may close a pooled connection at any moment, and a call that
+  // fails on it may or may not have been executed. A call that can't be retried
+  // therefore gets a new connection.
   const HttpClient::CallOptions options{ .freshConnection_ =
                                            !aCall.repeatable_ };
   if (aCall.mayDispatch_ && !aCall.mayDispatch_()) {
@@ -74,8 +74,9 @@
     co_return call.error();
   }
   const HttpResponse& head = call.value()->Head();
-  // Looked at before anything the answer says: a crossed refusal must not prove
-  // that this call did not run, or a repeat of it would run twice.
+  // Checked before any other part of the response: a rejection that belongs to
+  // another request says nothing about this call, and a retry based on it could
+  // execute the call twice.
   if (!IsAnswerTo(head, aCall.requestId_)) {
     co_return Error{ .code_ = ResultCode::kEndpointCrossed,
                      .ran_ = RanState::kUnknown };
