--- a/include/gooseberrylift/internal/gooseberrylift-encoding.h
+++ b/include/gooseberrylift/internal/gooseberrylift-encoding.h
@@ -1,4 +1,5 @@
-// Digests and text encodings for what is kept in the store, over OpenSSL.
+// Digests, message authentication codes and text encodings, based on OpenSSL
+// and zstd.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENCODING_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENCODING_H_
@@ -13,36 +14,38 @@
 /// Encodes bytes as base64.
 std::string EncodeBase64(std::string_view aBytes);
 
-/// Decodes base64. @return nothing when the text is none
+/// Decodes base64.
+/// @return nothing if the text is not valid base64
 std::optional<std::string> DecodeBase64(std::string_view aText);
 
-/// Compresses a text (zstd) and encodes it as base64.
+/// Compresses a text with zstd and encodes the result as base64.
 std::string PackText(const std::string& aText);
 
-/// Undoes PackText. @return nothing when the text is none of its making, or
-/// larger than 256 MB
+/// Reverses PackText.
+/// @return nothing if the input is malformed or the text is larger than 256 MB
 std::optional<std::string> UnpackText(const std::string& aText);
 
-/// Digests several parts, each with its length, so that no two lists of parts
-/// run into one text. The first 128 bits of SHA-256: callers choose the parts,
-/// and must not be able to make two requests look alike.
+/// Computes a digest of several parts. Each part is preceded by its length, so
+/// that different lists of parts never yield the same input. The digest is the
+/// first 128 bits of SHA-256: callers choose the parts, and must not be able to
+/// find two requests with the same digest.
 /// @return 16 bytes
 std::string DigestOf(std::initializer_list<std::string_view> aParts);
 
-// Of a message authentication code: the first half of HMAC-SHA256.
+// Size of a message authentication code, the first half of an HMAC-SHA256.
 inline constexpr std::size_t kMacBytes = 16;
 
-/// Makes the code of bytes under a key.
+/// Computes the message authentication code of bytes under a key.
 /// @return kMacBytes bytes
-std::string MacOf(std::string_view aKey, std::string_view aBytes);
+std::string ComputeMac(std::string_view aKey, std::string_view aBytes);
 
-/// Says whether a code is that of bytes under a key, in a time that tells
-/// nothing of where it differs.
-bool IsMacOf(std::string_view aKey,
-             std::string_view aBytes,
-             std::string_view aMac);
+/// Returns whether a message authentication code is valid. Compares in constant
+/// time, so that the time does not reveal where the codes differ.
+bool VerifyMac(std::string_view aKey,
+               std::string_view aBytes,
+               std::string_view aMac);
 
-/// Makes a random identifier of 128 bits in base64.
+/// Returns a random 128-bit identifier, encoded as base64.
 std::string MakeNonce();
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-headline-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-headline-words.h
@@ -1,4 +1,4 @@
-// Asks other hosts what they know of the store, and tells those that ask.
+// Exchanges with other hosts how much of the store's state each of them has.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
@@ -20,9 +20,10 @@
 
 namespace gooseberrylift {
 
-// Each round a few hosts, drawn anew. In datagrams, since a call needs a
-// connection and HTTP on either side, and a lost question is as good as
-// answered by the next one. All of it runs on one executor.
+// Sends a request to a few randomly chosen hosts at a fixed interval, and
+// responds to the requests of others. Uses datagrams, because a call needs a
+// connection and HTTP on both sides, and the next request makes up for a lost
+// one. Must be used on one executor only.
 class HeadlineWords
 {
 public:
@@ -30,44 +31,46 @@
   {
     boost::asio::any_io_executor executor_;
     PeerDatagrams& datagrams_;
-    // Draws the hosts to ask in a round.
+    // Chooses the hosts to send the next request to.
     std::function<std::vector<PeerMember>()> draw_;
     std::function<StoreStatus()> own_;
-    // Takes another host's headline; with the time of the question where it
-    // came with the answer to one.
+    // Receives the status of another host. aSentAt is set if the status came in
+    // a response, to the time at which the request was sent.
     std::function<void(const PeerMember& aPeer,
-                       const StoreStatus& aHeadline,
-                       std::optional<BootTime> aAsked)>
+                       const StoreStatus& aStatus,
+                       std::optional<BootTime> aSentAt)>
       take_;
   };
 
   struct Options
   {
-    std::string host_; // this host's name
-    std::chrono::milliseconds round_{ 150 };
-    // An answer that comes later is dropped: it would prove little.
-    std::chrono::milliseconds answerWithin_{ 1'000 };
+    std::string host_; // name of this host
+    std::chrono::milliseconds interval_{ 150 };
+    // A response that arrives later is dropped: its status is counted from the
+    // time of the request, and would be too old to prove much.
+    std::chrono::milliseconds responseTimeout_{ 1'000 };
   };
 
   HeadlineWords(Parts aParts, Options aOptions);
 
-  /// Begins to ask and to answer.
+  /// Starts to send requests.
   void Start();
 
-  /// Asks at once, for news that others should see soon.
-  void AskNow() { Ask(); }
+  /// Sends a request at once, because a change should reach other hosts soon.
+  void AskNow() { SendRequests(); }
 
 private:
-  void Ask();
-  void TakeIn(std::string_view aBytes, const PeerAddress& aFrom);
-  void TakeInAnswer(const StoreStatusMessage& aWord, const PeerMember& aPeer);
-  void ForgetOld();
+  void SendRequests();
+  void HandleDatagram(std::string_view aBytes, const PeerAddress& aFrom);
+  void HandleResponse(const StoreStatusMessage& aMessage,
+                      const PeerMember& aPeer);
+  void DiscardExpiredRequests();
 
   Parts parts_;
   Options options_;
   std::mt19937_64 random_;
-  std::map<std::uint64_t, BootTime> asked_; // by question
-  TimerSubscription round_;
+  std::map<std::uint64_t, BootTime> sentAt_; // by request identifier
+  TimerSubscription timer_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-job-store.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-store.h
@@ -1,5 +1,5 @@
-// Keeps jobs in the object store: one object a job, and chunks for texts that
-// are too long for it.
+// Stores jobs in the object store: one object per job, and chunk objects for
+// requests and results that are too long for it.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_STORE_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_STORE_H_
@@ -16,7 +16,7 @@
 constexpr const char* kJobKind = "jobs";
 constexpr const char* kJobChunkKind = "jobchunks";
 
-// A job with the version of its object, for the next conditional update.
+// A job and the version of its object, which the next conditional update needs.
 struct StoredJob
 {
   std::string id_;
@@ -24,16 +24,15 @@
   JobRecord record_{};
 };
 
-// Holds no state of its own; safe from any thread. Each call ends by its
-// deadline.
+// Stateless, therefore thread-safe. Each call completes by its deadline.
 class JobStore
 {
 public:
   explicit JobStore(ObjectStore& aStore);
 
-  /// Stores a new job with its request, chunks and all.
-  /// @param aRequest the request's text, to be compressed
-  /// @return the job, or kStoreConflict when the identifier is taken
+  /// Stores a new job with its request, in chunks if the request is long.
+  /// @param aRequest text of the request, not yet compressed
+  /// @return the stored job, or kStoreConflict if the identifier is in use
   boost::asio::awaitable<Outcome<StoredJob>> Add(StoredJob aJob,
                                                  std::string aRequest,
                                                  TimePoint aDeadline);
@@ -41,23 +40,27 @@
   boost::asio::awaitable<Outcome<StoredJob>> Read(std::string aId,
                                                   TimePoint aDeadline);
 
-  /// Replaces a job's record if nobody else has. A lost answer is settled by
-  /// reading back.
+  /// Replaces a job's record unless it was changed meanwhile. If the response
+  /// is lost, the record is read back to find out whether the update took
+  /// effect.
   boost::asio::awaitable<Outcome<StoredJob>> Update(StoredJob aJob,
                                                     TimePoint aDeadline);
 
-  /// Gives the request's or the result's text.
+  /// Reads the text of the request.
   boost::asio::awaitable<Outcome<std::string>> ReadRequest(StoredJob aJob,
                                                            TimePoint aDeadline);
+
+  /// Reads the text of the result.
   boost::asio::awaitable<Outcome<std::string>> ReadResult(StoredJob aJob,
                                                           TimePoint aDeadline);
 
-  /// Puts a result into the job's record, writing chunks when it is long.
+  /// Adds a result to the job's record, which the caller then stores by Update.
+  /// A long result is written to chunks.
   boost::asio::awaitable<Outcome<StoredJob>> AttachResult(StoredJob aJob,
                                                           std::string aResult,
                                                           TimePoint aDeadline);
 
-  /// Removes a job and its chunks.
+  /// Deletes a job and its chunks.
   boost::asio::awaitable<Outcome<void>> Remove(StoredJob aJob,
                                                TimePoint aDeadline);
 
--- a/include/gooseberrylift/internal/gooseberrylift-json-rpc.h
+++ b/include/gooseberrylift/internal/gooseberrylift-json-rpc.h
@@ -1,6 +1,7 @@
-// JSON-RPC 2.0 by libjsonrpccpp: codec and dispatch, without its transports.
-// The library's headers need C++14, so its adapter is a target of its own and
-// this header, which both sides read, shows only strings and functions.
+// JSON-RPC 2.0 encoding and dispatch, based on libjsonrpccpp without its
+// transports. The library's headers require C++14, so the adapter is a separate
+// build target, and this header, which both targets include, uses only strings
+// and functions.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JSON_RPC_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JSON_RPC_H_
@@ -15,14 +16,14 @@
 //
 //   JsonRpcServer server;
 //   server.Add("exchange", [](const std::string& aParams) { ... });
-//   const std::string answer = server.Dispatch(body);
+//   const std::string response = server.Dispatch(body);
 //
-// Add is called before the first Dispatch; Dispatch is safe from any thread
-// when the methods are.
+// Add must be called before the first Dispatch. Dispatch is thread-safe if the
+// methods are.
 class JsonRpcServer
 {
 public:
-  // Takes the parameters' JSON and gives the result's JSON.
+  // Receives the parameters and returns the result, both as JSON text.
   using Method = std::function<std::string(const std::string& aParams)>;
 
   JsonRpcServer();
@@ -30,12 +31,12 @@
   JsonRpcServer(const JsonRpcServer&) = delete;
   JsonRpcServer& operator=(const JsonRpcServer&) = delete;
 
-  /// Adds a method.
+  /// Registers a method.
   void Add(const std::string& aName, Method aMethod);
 
-  /// Answers one request.
-  /// @param aRequest the request's text
-  /// @return the answer's text, also for a malformed request
+  /// Handles one request.
+  /// @param aRequest JSON text of the request
+  /// @return JSON text of the response, also for a malformed request
   std::string Dispatch(const std::string& aRequest);
 
 private:
@@ -43,17 +44,17 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Writes the text of a request.
-/// @param aMethod the method's name
-/// @param aParams the parameters, a JSON object
+/// Returns the JSON text of a request.
+/// @param aMethod name of the method
+/// @param aParams JSON object with the parameters
 std::string MakeJsonRpcRequest(const std::string& aMethod,
                                const std::string& aParams);
 
-/// Reads the text of an answer.
-/// @param aAnswer what the server sent
-/// @param aResult set to the result's JSON
-/// @return false when it is no answer or carries an error
-bool ReadJsonRpcAnswer(const std::string& aAnswer, std::string& aResult);
+/// Parses the JSON text of a response.
+/// @param aResponse text that the server sent
+/// @param aResult set to the JSON text of the result
+/// @return false if the text is not a valid response or contains an error
+bool ParseJsonRpcResponse(const std::string& aResponse, std::string& aResult);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/internal/gooseberrylift-load-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-load-words.h
@@ -1,4 +1,4 @@
-// Tells other hosts in datagrams what this one has in work, and hears them.
+// Sends this host's load to other hosts in datagrams, and receives theirs.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
@@ -23,11 +23,11 @@
 
 namespace gooseberrylift {
 
-// Words of load are small, many, and worthless when late; the next one replaces
-// a lost one. So they go as datagrams. In a large fleet one host of each zone
-// sums up what its zone has in work and tells it to the other zones
-// (ZoneLoadAggregator). All of it runs on one executor, to which its owner's
-// calls belong too.
+// Load messages are small, frequent and useless if late, and each one makes up
+// for a lost predecessor, so they are sent as datagrams. In a large fleet one
+// host of each zone sends the zone's total load to the other zones
+// (ZoneLoadAggregator). Must be used on one executor only, including the calls
+// of its owner.
 class LoadWords
 {
 public:
@@ -35,78 +35,81 @@
   {
     boost::asio::any_io_executor executor_;
     PeerDatagrams& datagrams_;
+    // Returns this host's load by endpoint.
     std::function<std::vector<EndpointShare>()> own_;
-    // The same at some endpoints.
+    // Returns this host's load on the given endpoints.
     std::function<std::vector<EndpointShare>(
       const std::vector<ListedEndpoint>& aEndpoints)>
       ownAt_;
-    // Sums of what the hosts of this zone have in work.
+    // Returns the total load of the hosts of this zone by endpoint.
     std::function<std::vector<EndpointShare>()> zoneSums_;
-    std::function<void(const LoadMessage& aWord)> take_; // of a peer
+    std::function<void(const LoadMessage& aMessage)> take_; // from a peer
   };
 
   struct Options
   {
-    std::string host_; // this host's name
+    std::string host_; // name of this host
     std::string zone_;
-    LoadMessagePacer::Options pace_{};
-    // Between two sums of the zone for the hosts of other zones. Each goes to
-    // one host of each zone, which passes it on: with 60 hosts a zone and five
-    // zones each host sends and gets 20 datagrams a second, and the smallest
-    // hosts have an eighth of a core for all that they do.
-    std::chrono::milliseconds sums_{ 200 };
-    // A long prompt is told sooner, but no sum follows another one faster: in
-    // bursts of long prompts a sum for each of them would take the processor of
-    // small hosts from their callers.
-    std::chrono::milliseconds leastBetweenSums_{ 100 };
+    LoadMessagePacer::Options pacerOptions_{};
+    // Time between two messages with the zone's total load. Each is sent to one
+    // host of each other zone, which relays it to its zone: with five zones of
+    // 60 hosts, each host sends and receives 20 datagrams a second. The
+    // smallest hosts have an eighth of a core for all their work.
+    std::chrono::milliseconds totalsInterval_{ 200 };
+    // A long prompt is reported before the interval has passed, but not sooner
+    // than this after the previous message: in bursts of long prompts a message
+    // for each of them would take too much processor time of small hosts from
+    // their callers.
+    std::chrono::milliseconds minTotalsInterval_{ 100 };
   };
 
   LoadWords(Parts aParts, Options aOptions);
 
-  /// Begins to tell.
+  /// Starts to repeat snapshots, which make up for lost datagrams.
   void Start();
 
-  /// Sets the other hosts, as they change.
+  /// Sets the recipients. To be called again if they change.
   void SetPeers(const LoadMessagePeers& aPeers);
 
-  /// Notes that this host has placed something.
-  /// @param aUrgent it is told beyond the bound: a long prompt, for which the
-  /// others would take the same idle endpoints
+  /// Records that this host has placed a request.
+  /// @param aUrgent whether to report it despite the rate limit: a long prompt,
+  /// for which other hosts would otherwise choose the same idle endpoints
   void OnPlaced(const std::vector<ListedEndpoint>& aEndpoints, bool aUrgent);
 
-  /// Notes that something has ended.
-  void OnEnded() { SendWholeSoon(); }
+  /// Records that a request has ended.
+  void OnEnded() { ScheduleSnapshot(); }
 
 private:
-  boost::asio::awaitable<void> SendAt(TimePoint aWhen);
-  void SendWhole();
-  void SendWholeSoon();
-  void Send(const LoadMessage& aWord, const std::vector<PeerAddress>& aTo);
-  void Repeat();
-  void TellZone();
-  void TellZoneSoon();
-  void SendToZones(LoadMessageKind aPart, std::vector<EndpointShare> aShares);
-  void PassOn(LoadMessage aWord);
-  void TakeIn(std::string_view aBytes);
+  boost::asio::awaitable<void> SendSnapshotAt(TimePoint aWhen);
+  void SendSnapshot();
+  void ScheduleSnapshot();
+  void Send(const LoadMessage& aMessage, const std::vector<PeerAddress>& aTo);
+  void RepeatSnapshot();
+  void SendTotals();
+  void SendTotalsIfAllowed();
+  void SendToOtherZones(LoadMessageKind aKind,
+                        std::vector<EndpointShare> aShares);
+  void RelayToZone(LoadMessage aMessage);
+  void HandleDatagram(std::string_view aBytes);
 
   Parts parts_;
   Options options_;
-  LoadMessagePacer pace_;
+  LoadMessagePacer pacer_;
   std::uint64_t sequence_ = 0;
-  bool armed_ = false; // a word is to be sent soon
-  bool told_ = false;  // the last word said something
+  bool snapshotScheduled_ = false;
+  bool lastMessageHadLoad_ = false; // the last message contained load
   std::vector<PeerAddress> near_;
   std::map<std::string, std::vector<PeerAddress>> far_; // by zone
   std::vector<PeerAddress> successors_;
   std::size_t rank_ = 0;
-  bool sums_ = false;  // this host sums up its zone, as last logged
-  TimePoint summed_{}; // the last time
+  bool isAggregator_ = false; // as last logged
+  TimePoint lastTotals_{};    // when they were last computed
   ZoneLoadAggregator zoneAggregator_{ ZoneLoadAggregator::Options{} };
-  ZoneAggregatorRole turn_{ ZoneAggregatorRole::Options{} };
+  ZoneAggregatorRole aggregatorRole_{ ZoneAggregatorRole::Options{} };
   std::minstd_rand random_;
-  TimerSubscription repeat_;
-  TimerSubscription zone_;
-  bool sumsAt_ = false; // zone_ runs
+  TimerSubscription repeatTimer_;
+  TimerSubscription totalsTimer_;
+  bool totalsTimerRuns_ = false;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-member-list.h
+++ b/include/gooseberrylift/internal/gooseberrylift-member-list.h
@@ -1,4 +1,5 @@
-// The store's lists of entry hosts, one object an availability zone.
+// The member lists in the store: one object per availability zone, which lists
+// its entry hosts.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMBER_LIST_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMBER_LIST_H_
@@ -12,15 +13,15 @@
 
 namespace gooseberrylift {
 
-/// Sees to it that a host stands in its zone's list, and reads all lists.
-/// Writes only when the host is missing or was restarted, so a fleet at rest
-/// writes nothing. The same write clears hosts of the zone that are neither
-/// live to this host nor written lately; a host cleared in error finds itself
-/// missing at its next reading and joins again, and its peers know it anyway.
-/// Store down: the host goes on with the peers it knows and tries again.
+/// Ensures that a host is registered in its zone's member list, and reads the
+/// lists of all zones. Writes only if the host is missing or was restarted, so
+/// that a fleet without changes causes no writes. The same write removes hosts
+/// of the zone that this host does not consider live and that did not start
+/// recently. A host removed by mistake finds itself missing at its next read
+/// and registers again; its peers know it in any case. If the store is down,
+/// the caller continues with the peers it knows and tries again later.
 /// @param aSelf this host
-/// @param aLive names of the hosts that this one holds for live
-/// @param aDeadline when to give up
+/// @param aLive names of the hosts that this host considers live
 /// @return the members of all zones
 boost::asio::awaitable<Outcome<std::vector<PeerMember>>> JoinMemberList(
   ObjectStore& aStore,
--- a/include/gooseberrylift/internal/gooseberrylift-peer-datagrams.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-datagrams.h
@@ -1,4 +1,4 @@
-// Carries small messages between hosts in datagrams.
+// Exchanges small messages between hosts as UDP datagrams.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_DATAGRAMS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_DATAGRAMS_H_
@@ -22,24 +22,25 @@
 
 using PeerAddress = boost::asio::ip::udp::endpoint;
 
-/// Reads addresses of the form IP:port; what is none is left out.
-std::vector<PeerAddress> PeerAddressesOf(
+/// Parses addresses of the form IP:port. Invalid ones are skipped.
+std::vector<PeerAddress> ParsePeerAddresses(
   const std::vector<std::string>& aAddresses);
 
-/// Writes an address as IP:port.
-std::string TextOf(const PeerAddress& aAddress);
+/// Formats an address as IP:port.
+std::string FormatPeerAddress(const PeerAddress& aAddress);
 
-// What a datagram is about, as its first byte.
+// The subject of a datagram, sent as the first byte after its authentication
+// code.
 enum class PeerTopic : char
 {
-  kLoad = 'L',  // what hosts have in work
-  kStore = 'S', // what hosts know of the store
+  kLoad = 'L',  // LoadMessage
+  kStore = 'S', // StoreStatusMessage
 };
 
-// One socket for all topics, on the same port number as the peers' calls. Each
-// datagram goes under a code of the hosts' shared key; one without it is
-// dropped. What is sent may be lost, and nobody is told. All of it runs on one
-// executor.
+// Uses one socket for all topics, on the same port number as the calls between
+// hosts. Each datagram carries a message authentication code under the key that
+// all hosts share; a datagram without a valid code is dropped. Datagrams may be
+// lost without notice. Must be used on one executor only.
 class PeerDatagrams
 {
 public:
@@ -52,37 +53,38 @@
   {
   }
 
-  /// Sets who takes the datagrams of a topic; only before Start.
+  /// Sets the function that receives the datagrams of a topic. To be called
+  /// before Start().
   void SetReceiver(PeerTopic aTopic, Receiver aReceiver)
   {
     receivers_[aTopic] = std::move(aReceiver);
   }
 
-  /// Begins to send and to receive.
-  /// @param aKey signs and proves datagrams
-  /// @return an error when the port can't be had
+  /// Opens the socket and starts to receive.
+  /// @param aKey key of the authentication codes
+  /// @return an error if the port cannot be opened
   Outcome<void> Start(const std::string& aAddress,
                       std::uint16_t aPort,
                       std::string aKey);
 
-  /// Says whether datagrams can be sent.
+  /// Returns whether datagrams can be sent.
   bool IsOpen() const { return socket_.is_open(); }
 
-  /// Sends a message to each of some hosts.
+  /// Sends a message to each of the given hosts.
   void Send(PeerTopic aTopic,
             const std::string& aBytes,
             const std::vector<PeerAddress>& aTo);
 
 private:
   boost::asio::awaitable<void> Receive();
-  void TakeInWaiting();
-  void TakeIn(std::string_view aDatagram, const PeerAddress& aFrom);
+  void HandlePendingDatagrams();
+  void HandleDatagram(std::string_view aDatagram, const PeerAddress& aFrom);
 
   boost::asio::any_io_executor executor_;
   boost::asio::ip::udp::socket socket_;
   std::string key_;
   std::map<PeerTopic, Receiver> receivers_;
-  std::array<char, 2048> buffer_{}; // a packet bears less
+  std::array<char, 2048> buffer_{}; // more than a packet holds
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
@@ -1,5 +1,5 @@
-// Signed calls between entry hosts: JSON-RPC 2.0 in HTTP bodies, each body
-// under an HMAC of a key that all hosts share.
+// Signed remote procedure calls between entry hosts: JSON-RPC 2.0 over HTTP,
+// each body authenticated by an HMAC under a key that all hosts share.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_RPC_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_PEER_RPC_H_
@@ -20,10 +20,11 @@
 
 namespace gooseberrylift {
 
-// Both ends of the calls. The first key signs and every key is accepted; to
-// rotate, add the new key last on all hosts, then move it to the front on all,
-// then remove the old one. Without keys, which the settings allow only on
-// the loopback address, nothing is signed. Safe to use from several threads.
+// Client and server of these calls. Messages are signed with the first key and
+// accepted with any of the keys. To rotate keys, append the new key on all
+// hosts, then move it to the front on all hosts, then remove the old one.
+// Without keys, which the settings allow only on the loopback address, nothing
+// is signed. Thread-safe.
 //
 //   PeerRpc rpc(client, { .host_ = "entry-1", .keys_ = keys });
 //   rpc.Add("exchange", [](const json& aParams) { return json(...); });
@@ -47,26 +48,27 @@
 
   PeerRpc(HttpClient& aClient, Options aOptions);
 
-  /// Adds a method; only before the first request.
+  /// Registers a method. To be called before the first request.
   void Add(const std::string& aName, Method aMethod);
 
-  /// Sets the keys; only before the first request.
+  /// Sets the keys. To be called before the first request.
   void SetKeys(std::vector<std::string> aKeys)
   {
     options_.keys_ = std::move(aKeys);
   }
 
-  /// Sets the addresses that stand for this host beside its name, for callers
-  /// that know only these; only before the first request.
+  /// Sets the addresses that callers may use as the receiver of a call in place
+  /// of this host's name, if they do not know the name. To be called before the
+  /// first request.
   void SetAddresses(std::set<std::string> aAddresses)
   {
     addresses_ = std::move(aAddresses);
   }
 
-  /// Says whether a request is a call of a peer.
+  /// Returns whether an HTTP request is a call from a peer.
   static bool IsCall(const HttpRequest& aRequest);
 
-  /// Calls a method of a peer.
+  /// Calls a method on a peer.
   /// @return the result, or an error with kPeerUnreachable or kPeerRefused
   boost::asio::awaitable<Outcome<nlohmann::json>> Call(Target aTarget,
                                                        std::string aMethod,
@@ -76,24 +78,24 @@
   /// Handles one request of the HTTP server.
   boost::asio::awaitable<void> Handle(HttpExchange& aExchange);
 
-  /// Gives the bytes sent and received in bodies so far.
-  std::uint64_t Bytes() const { return bytes_; }
+  /// Returns the total size of the bodies sent and received so far.
+  std::uint64_t ByteCount() const { return byteCount_; }
 
 private:
   std::string Sign(const std::string& aBody) const;
   bool IsSigned(const std::string& aBody, std::string_view aSignature) const;
   std::string Dispatch(const Method& aMethod, const std::string& aParams);
-  nlohmann::json Envelope(const Target& aTarget, nlohmann::json aParams);
+  nlohmann::json MakeEnvelope(const Target& aTarget, nlohmann::json aParams);
 
   HttpClient& client_;
   Options options_;
   std::set<std::string> addresses_;
   JsonRpcServer server_;
-  std::string noncePrefix_; // unlike that of any other process
+  std::string noncePrefix_; // unique to this process
   std::atomic<std::uint64_t> nextNonce_ = 0;
-  std::atomic<std::uint64_t> bytes_ = 0;
-  std::mutex mutex_; // guards replay_
-  ReplayGuard replay_;
+  std::atomic<std::uint64_t> byteCount_ = 0;
+  std::mutex mutex_; // guards replayGuard_
+  ReplayGuard replayGuard_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-rest-store.h
+++ b/include/gooseberrylift/internal/gooseberrylift-rest-store.h
@@ -1,5 +1,5 @@
-// The object store in the dialect of the Kubernetes API: REST, versions as
-// metadata.resourceVersion, watches as lines of JSON.
+// Object store client for the conventions of the Kubernetes API: REST, versions
+// in metadata.resourceVersion, and watches as a stream of JSON lines.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_REST_STORE_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_REST_STORE_H_
@@ -15,15 +15,16 @@
 
 namespace gooseberrylift {
 
-// Talks to the first address that can be connected to and stays with it until
-// it fails; safe to use from several threads.
+// Uses one of the store's addresses until a call to it fails, and then the next
+// one. Thread-safe.
 class RestStore : public ObjectStore
 {
 public:
   struct Options
   {
     std::vector<std::string> addresses_; // IP:port, at least one
-    // Told of each call before it is sent: "read", "list", "write", "watch".
+    // Called before each request with its type: "read", "list", "write" or
+    // "watch".
     std::function<void(std::string_view aKind)> onCall_;
   };
 
@@ -54,11 +55,11 @@
   boost::asio::awaitable<Outcome<nlohmann::json>> Call(HttpRequest aRequest,
                                                        TimePoint aDeadline);
   const std::string& Address() const;
-  void Count(std::string_view aKind) const;
+  void ReportCall(std::string_view aKind) const;
 
   HttpClient& client_;
   Options options_;
-  std::atomic<std::size_t> current_ = 0;
+  std::atomic<std::size_t> current_ = 0; // index of the address, modulo count
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-store.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store.h
@@ -1,5 +1,5 @@
-// The platform's object store as the rest of the program sees it. Another
-// dialect is another implementation of ObjectStore, in one file.
+// Interface of the platform's object store. To support another store API, add
+// an implementation of ObjectStore in one file.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_H_
@@ -17,8 +17,8 @@
 
 namespace gooseberrylift {
 
-// One versioned object. The version is the store's, opaque, and changes with
-// every write.
+// One versioned object. The store assigns the version, which is opaque and
+// changes with every write.
 struct StoreObject
 {
   std::string kind_;
@@ -30,7 +30,7 @@
 struct StoreList
 {
   std::vector<StoreObject> items_;
-  std::string version_; // from which a watch goes on
+  std::string version_; // to start a watch from
 };
 
 struct StoreEvent
@@ -39,10 +39,10 @@
   StoreObject object_;
 };
 
-// Every call ends by its deadline. Errors: kStoreUnavailable when the store
-// does not answer or is over its rate, kStoreConflict, kStoreNotFound,
-// kStoreGone. An error's ran_ says whether a write may have taken effect:
-// kUnknown after a lost answer, which the caller settles by reading back.
+// Every call completes by its deadline. Errors: kStoreUnavailable if the store
+// does not respond or limits the call rate, kStoreConflict, kStoreNotFound and
+// kStoreGone. An error's ran_ tells whether a write may have taken effect. It
+// is kUnknown if the response was lost; the caller then reads the object back.
 class ObjectStore
 {
 public:
@@ -54,9 +54,9 @@
   virtual boost::asio::awaitable<Outcome<StoreObject>>
   Read(std::string aKind, std::string aName, TimePoint aDeadline) = 0;
 
-  /// Reads one object as it was some seconds ago at most, where that costs the
-  /// store less; for objects that never change. It may miss one that was just
-  /// created.
+  /// Reads one object, allowing a result that is a few seconds stale if that is
+  /// cheaper for the store. Meant for objects that never change. An object that
+  /// was just created may not be found.
   virtual boost::asio::awaitable<Outcome<StoreObject>>
   ReadAnyAge(std::string aKind, std::string aName, TimePoint aDeadline)
   {
@@ -68,8 +68,8 @@
     std::string aKind,
     TimePoint aDeadline) = 0;
 
-  /// Reads all objects of a kind, at most some seconds out of date where that
-  /// costs the store less. Later updates may change them.
+  /// Reads all objects of a kind, allowing a result that is a few seconds stale
+  /// if that is cheaper for the store. The store may hold later updates.
   virtual boost::asio::awaitable<Outcome<StoreList>> ListAnyAge(
     std::string aKind,
     TimePoint aDeadline)
@@ -77,27 +77,31 @@
     co_return co_await List(std::move(aKind), aDeadline);
   }
 
-  /// Creates an object; kStoreConflict when the name is taken.
+  /// Creates an object.
+  /// @return kStoreConflict if the name is in use
   virtual boost::asio::awaitable<Outcome<StoreObject>> Create(
     StoreObject aObject,
     TimePoint aDeadline) = 0;
 
-  /// Replaces an object whose version is still aObject's; else kStoreConflict.
+  /// Replaces an object if its version is still that of aObject.
+  /// @return kStoreConflict if the version has changed
   virtual boost::asio::awaitable<Outcome<StoreObject>> Update(
     StoreObject aObject,
     TimePoint aDeadline) = 0;
 
-  /// Deletes an object whose version is still the given one.
+  /// Deletes an object if its version is still the given one.
   virtual boost::asio::awaitable<Outcome<void>> Delete(std::string aKind,
                                                        std::string aName,
                                                        std::string aVersion,
                                                        TimePoint aDeadline) = 0;
 
-  /// Follows changes of a kind from a version on, until the wait has passed,
-  /// the store ends the watch, or an error.
+  /// Watches the objects of a kind for changes after a version, until aWait has
+  /// passed, the store ends the watch, or an error occurs.
   /// @param aWait how long to wait for changes
-  /// @param aDeadline when the connection counts as dead; after the wait
-  /// @return the version to go on from; kStoreGone asks for a new List
+  /// @param aDeadline when to consider the connection dead; later than the end
+  /// of aWait
+  /// @return the version to continue from, or kStoreGone if the version is too
+  /// old and a new List is needed
   virtual boost::asio::awaitable<Outcome<std::string>> Watch(
     std::string aKind,
     std::string aVersion,
