--- a/src/clients/gooseberrylift-encoding.cc
+++ b/src/clients/gooseberrylift-encoding.cc
@@ -13,13 +13,14 @@
 
 namespace {
 
-// A text that claims to be larger is refused before room is made for it.
+// A frame that declares a larger text is rejected before memory is allocated
+// for it.
 constexpr std::size_t kMaxTextBytes = 256 * 1024 * 1024;
-constexpr int kCompression = 3; // the library's own default
+constexpr int kCompressionLevel = 3; // zstd's default
 
 constexpr std::size_t kDigestBytes = 16;
 
-const unsigned char* BytesOf(std::string_view aText)
+const unsigned char* ToUnsignedBytes(std::string_view aText)
 {
   return reinterpret_cast<const unsigned char*>(aText.data());
 }
@@ -28,10 +29,11 @@
 
 std::string EncodeBase64(std::string_view aBytes)
 {
-  std::string text((aBytes.size() + 2) / 3 * 4 + 1, '\0'); // and a final zero
+  std::string text((aBytes.size() + 2) / 3 * 4 + 1,
+                   '\0'); // including the terminating zero
   const int size =
     EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
-                    BytesOf(aBytes),
+                    ToUnsignedBytes(aBytes),
                     static_cast<int>(aBytes.size()));
   text.resize(static_cast<std::size_t>(size));
   return text;
@@ -45,12 +47,12 @@
   std::string bytes(aText.size() / 4 * 3, '\0');
   const int size =
     EVP_DecodeBlock(reinterpret_cast<unsigned char*>(bytes.data()),
-                    BytesOf(aText),
+                    ToUnsignedBytes(aText),
                     static_cast<int>(aText.size()));
   if (size < 0) {
     return std::nullopt;
   }
-  // The library counts the padding as bytes.
+  // OpenSSL counts the padding as decoded bytes.
   std::size_t padding = 0;
   while (padding < 2 && padding < aText.size() &&
          aText[aText.size() - 1 - padding] == '=') {
@@ -77,25 +79,25 @@
                      kDigestBytes);
 }
 
-std::string MacOf(std::string_view aKey, std::string_view aBytes)
+std::string ComputeMac(std::string_view aKey, std::string_view aBytes)
 {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned int size = 0;
   HMAC(EVP_sha256(),
        aKey.data(),
        static_cast<int>(aKey.size()),
-       BytesOf(aBytes),
+       ToUnsignedBytes(aBytes),
        aBytes.size(),
        digest.data(),
        &size);
   return { reinterpret_cast<const char*>(digest.data()), kMacBytes };
 }
 
-bool IsMacOf(std::string_view aKey,
-             std::string_view aBytes,
-             std::string_view aMac)
+bool VerifyMac(std::string_view aKey,
+               std::string_view aBytes,
+               std::string_view aMac)
 {
-  const std::string mac = MacOf(aKey, aBytes);
+  const std::string mac = ComputeMac(aKey, aBytes);
   return aMac.size() == mac.size() &&
          CRYPTO_memcmp(aMac.data(), mac.data(), mac.size()) == 0;
 }
@@ -111,8 +113,11 @@
 std::string PackText(const std::string& aText)
 {
   std::string packed(ZSTD_compressBound(aText.size()), '\0');
-  const std::size_t size = ZSTD_compress(
-    packed.data(), packed.size(), aText.data(), aText.size(), kCompression);
+  const std::size_t size = ZSTD_compress(packed.data(),
+                                         packed.size(),
+                                         aText.data(),
+                                         aText.size(),
+                                         kCompressionLevel);
   packed.resize(ZSTD_isError(size) != 0U ? 0 : size);
   return EncodeBase64(packed);
 }
@@ -126,12 +131,13 @@
   const unsigned long long size =
     ZSTD_getFrameContentSize(packed->data(), packed->size());
   if (size > kMaxTextBytes) {
-    return std::nullopt; // also the library's marks for "unknown" and "error"
+    // This includes zstd's values for an unknown size and for an error.
+    return std::nullopt;
   }
   std::string text(size, '\0');
-  const std::size_t got =
+  const std::size_t decompressed =
     ZSTD_decompress(text.data(), text.size(), packed->data(), packed->size());
-  if (ZSTD_isError(got) != 0U || got != text.size()) {
+  if (ZSTD_isError(decompressed) != 0U || decompressed != text.size()) {
     return std::nullopt;
   }
   return text;
--- a/src/clients/gooseberrylift-headline-words.cc
+++ b/src/clients/gooseberrylift-headline-words.cc
@@ -12,21 +12,21 @@
   parts_.datagrams_.SetReceiver(
     PeerTopic::kStore,
     [this](std::string_view aBytes, const PeerAddress& aFrom) {
-      TakeIn(aBytes, aFrom);
+      HandleDatagram(aBytes, aFrom);
     });
 }
 
 void HeadlineWords::Start()
 {
-  round_ =
-    TimerService::Every(options_.round_, parts_.executor_, [this] { Ask(); });
+  timer_ = TimerService::Every(
+    options_.interval_, parts_.executor_, [this] { SendRequests(); });
 }
 
-// Each question has a number of its own, so a recorded answer proves nothing to
-// a later one.
-void HeadlineWords::Ask()
+// Each request has a random identifier, so that a recorded response cannot be
+// replayed as the response to a later request.
+void HeadlineWords::SendRequests()
 {
-  ForgetOld();
+  DiscardExpiredRequests();
   const std::vector<PeerMember> peers = parts_.draw_();
   if (peers.empty()) {
     return;
@@ -36,51 +36,53 @@
   for (const PeerMember& peer : peers) {
     addresses.push_back(peer.address_);
   }
-  const StoreStatusMessage question{ .host_ = options_.host_,
-                                     .requestId_ = random_(),
-                                     .storeStatus_ = parts_.own_() };
-  asked_[question.requestId_] = TimerService::BootNow();
+  const StoreStatusMessage request{ .host_ = options_.host_,
+                                    .requestId_ = random_(),
+                                    .storeStatus_ = parts_.own_() };
+  sentAt_[request.requestId_] = TimerService::BootNow();
   parts_.datagrams_.Send(PeerTopic::kStore,
-                         EncodeStoreStatusMessage(question),
-                         PeerAddressesOf(addresses));
+                         EncodeStoreStatusMessage(request),
+                         ParsePeerAddresses(addresses));
 }
 
-void HeadlineWords::ForgetOld()
+void HeadlineWords::DiscardExpiredRequests()
 {
   const BootTime now = TimerService::BootNow();
-  std::erase_if(asked_, [&](const auto& aAsked) {
-    return now - aAsked.second > options_.answerWithin_;
+  std::erase_if(sentAt_, [&](const auto& aRequest) {
+    return now - aRequest.second > options_.responseTimeout_;
   });
 }
 
-void HeadlineWords::TakeIn(std::string_view aBytes, const PeerAddress& aFrom)
+void HeadlineWords::HandleDatagram(std::string_view aBytes,
+                                   const PeerAddress& aFrom)
 {
-  const auto word = DecodeStoreStatusMessage(aBytes);
-  if (!word) {
+  const auto message = DecodeStoreStatusMessage(aBytes);
+  if (!message) {
     return;
   }
-  const PeerMember peer{ .host_ = word->host_, .address_ = TextOf(aFrom) };
-  if (word->isResponse_) {
-    TakeInAnswer(*word, peer);
+  const PeerMember peer{ .host_ = message->host_,
+                         .address_ = FormatPeerAddress(aFrom) };
+  if (message->isResponse_) {
+    HandleResponse(*message, peer);
     return;
   }
-  // The headline is of this moment: the age in it is counted from the question
-  // on, and would look too low if it had been taken before.
-  const StoreStatusMessage answer{ .host_ = options_.host_,
-                                   .requestId_ = word->requestId_,
-                                   .isResponse_ = true,
-                                   .storeStatus_ = parts_.own_() };
+  // The status is taken now and not cached: the receiver counts its age from
+  // when the request was sent, so an older status would appear too recent.
+  const StoreStatusMessage response{ .host_ = options_.host_,
+                                     .requestId_ = message->requestId_,
+                                     .isResponse_ = true,
+                                     .storeStatus_ = parts_.own_() };
   parts_.datagrams_.Send(
-    PeerTopic::kStore, EncodeStoreStatusMessage(answer), { aFrom });
-  parts_.take_(peer, word->storeStatus_, std::nullopt);
+    PeerTopic::kStore, EncodeStoreStatusMessage(response), { aFrom });
+  parts_.take_(peer, message->storeStatus_, std::nullopt);
 }
 
-void HeadlineWords::TakeInAnswer(const StoreStatusMessage& aWord,
-                                 const PeerMember& aPeer)
+void HeadlineWords::HandleResponse(const StoreStatusMessage& aMessage,
+                                   const PeerMember& aPeer)
 {
-  const auto asked = asked_.find(aWord.requestId_);
-  if (asked != asked_.end()) {
-    parts_.take_(aPeer, aWord.storeStatus_, asked->second);
+  const auto request = sentAt_.find(aMessage.requestId_);
+  if (request != sentAt_.end()) {
+    parts_.take_(aPeer, aMessage.storeStatus_, request->second);
   }
 }
 
--- a/src/clients/gooseberrylift-job-store.cc
+++ b/src/clients/gooseberrylift-job-store.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kInlineBytes = 16 * 1024;
-constexpr std::size_t kChunkBytes = 700 * 1024; // the store takes 1 MB
+constexpr std::size_t kMaxInlineBytes = 16 * 1024;
+constexpr std::size_t kChunkBytes = 700 * 1024; // the store accepts 1 MB
 
-StoreObject ObjectOf(const StoredJob& aJob)
+StoreObject ToStoreObject(const StoredJob& aJob)
 {
   return { .kind_ = kJobKind,
            .name_ = aJob.id_,
@@ -22,14 +22,14 @@
            .spec_ = aJob.record_.Spec() };
 }
 
-StoredJob JobOf(const StoreObject& aObject)
+StoredJob ToStoredJob(const StoreObject& aObject)
 {
   return { .id_ = aObject.name_,
            .version_ = aObject.version_,
            .record_ = JobRecord::Parse(aObject.spec_) };
 }
 
-StoreObject ChunkOf(const std::string& aName, int aIndex, std::string aText)
+StoreObject MakeChunk(const std::string& aName, int aIndex, std::string aText)
 {
   json spec = json::object();
   spec["text"] = std::move(aText);
@@ -38,29 +38,30 @@
            .spec_ = std::move(spec) };
 }
 
-// Base64 with what names may not hold replaced.
-std::string PlainName(const std::string& aText)
+// Replaces the characters of base64 that are not allowed in object names.
+std::string SanitizeName(const std::string& aText)
 {
   std::string name;
   for (const char letter : aText) {
-    const bool plain = std::isalnum(static_cast<unsigned char>(letter)) != 0;
-    name += plain ? letter : '0';
+    const bool allowed = std::isalnum(static_cast<unsigned char>(letter)) != 0;
+    name += allowed ? letter : '0';
   }
   return name;
 }
 
-// A result's chunks carry the claim's nonce, so that two holders, one of them
-// paused past its lease, never write the same chunk.
-std::string ResultName(const StoredJob& aJob)
+// The names of a result's chunks contain the nonce of the claim. A holder that
+// was paused beyond its lease therefore never writes the same chunk as the next
+// holder.
+std::string ResultChunkPrefix(const StoredJob& aJob)
 {
-  return aJob.id_ + "-r" + PlainName(aJob.record_.holder_);
+  return aJob.id_ + "-r" + SanitizeName(aJob.record_.holder_);
 }
 
-// A request's chunks carry its digest, so that what an earlier job of the same
-// key left behind is never taken for this one's.
-std::string RequestName(const StoredJob& aJob)
+// The names of a request's chunks contain its digest, so that chunks left over
+// from an earlier job with the same key are never read as part of this one.
+std::string RequestChunkPrefix(const StoredJob& aJob)
 {
-  return aJob.id_ + "-q" + PlainName(aJob.record_.digest_);
+  return aJob.id_ + "-q" + SanitizeName(aJob.record_.digest_);
 }
 
 } // namespace
@@ -75,33 +76,34 @@
                                                   TimePoint aDeadline)
 {
   std::string text = PackText(aRequest);
-  const bool isShort = text.size() <= kInlineBytes;
+  const bool isShort = text.size() <= kMaxInlineBytes;
   if (isShort) {
     aJob.record_.request_ = text;
   } else {
-    // The job's own object comes first, so that its chunks are swept with it
-    // if this host dies between them.
+    // The job's object is created before its chunks, so that these are removed
+    // together with it if this host fails before all of them are written.
     aJob.record_.state_ = JobState::kStoring;
     aJob.record_.requestChunks_ =
       static_cast<int>((text.size() + kChunkBytes - 1) / kChunkBytes);
   }
-  const auto made = co_await store_.Create(ObjectOf(aJob), aDeadline);
-  if (!made && made.error().ran_ != RanState::kNo) {
-    // The answer was lost; the digest tells whether it is this job.
+  const auto created = co_await store_.Create(ToStoreObject(aJob), aDeadline);
+  if (!created && created.error().ran_ != RanState::kNo) {
+    // The response was lost. If the stored digest is this request's, the create
+    // succeeded.
     auto found = co_await Read(aJob.id_, aDeadline);
     if (!found || found.value().record_.digest_ != aJob.record_.digest_) {
-      co_return made.error();
+      co_return created.error();
     }
     aJob.version_ = found.value().version_;
-  } else if (!made) {
-    co_return made.error();
+  } else if (!created) {
+    co_return created.error();
   } else {
-    aJob.version_ = made.value().version_;
+    aJob.version_ = created.value().version_;
   }
   if (isShort) {
     co_return aJob;
   }
-  const std::string name = RequestName(aJob);
+  const std::string name = RequestChunkPrefix(aJob);
   const auto written = co_await WriteChunks(name, std::move(text), aDeadline);
   if (!written) {
     co_return written.error();
@@ -117,13 +119,13 @@
   if (!object) {
     co_return object.error();
   }
-  co_return JobOf(object.value());
+  co_return ToStoredJob(object.value());
 }
 
 asio::awaitable<Outcome<StoredJob>> JobStore::Update(StoredJob aJob,
                                                      TimePoint aDeadline)
 {
-  const auto written = co_await store_.Update(ObjectOf(aJob), aDeadline);
+  const auto written = co_await store_.Update(ToStoreObject(aJob), aDeadline);
   if (written) {
     aJob.version_ = written.value().version_;
     co_return aJob;
@@ -144,11 +146,12 @@
 {
   int count = 0;
   for (std::size_t at = 0; at < aText.size(); at += kChunkBytes) {
-    StoreObject chunk = ChunkOf(aName, count, aText.substr(at, kChunkBytes));
-    const auto made = co_await store_.Create(std::move(chunk), aDeadline);
-    // A conflict is this text's own chunk from a try whose answer was lost.
-    if (!made && made.error().code_ != ResultCode::kStoreConflict) {
-      co_return made.error();
+    StoreObject chunk = MakeChunk(aName, count, aText.substr(at, kChunkBytes));
+    const auto created = co_await store_.Create(std::move(chunk), aDeadline);
+    // A conflict means that an earlier attempt, whose response was lost, has
+    // already written this chunk.
+    if (!created && created.error().code_ != ResultCode::kStoreConflict) {
+      co_return created.error();
     }
     ++count;
   }
@@ -172,7 +175,7 @@
   auto decoded = UnpackText(text);
   if (!decoded) {
     co_return Error{ .code_ = ResultCode::kInternal,
-                     .text_ = "the stored text can't be decoded" };
+                     .text_ = "cannot decode the stored request or result" };
   }
   co_return std::move(*decoded);
 }
@@ -180,7 +183,7 @@
 asio::awaitable<Outcome<std::string>> JobStore::ReadRequest(StoredJob aJob,
                                                             TimePoint aDeadline)
 {
-  co_return co_await ReadText(RequestName(aJob),
+  co_return co_await ReadText(RequestChunkPrefix(aJob),
                               aJob.record_.request_,
                               aJob.record_.requestChunks_,
                               aDeadline);
@@ -189,7 +192,7 @@
 asio::awaitable<Outcome<std::string>> JobStore::ReadResult(StoredJob aJob,
                                                            TimePoint aDeadline)
 {
-  co_return co_await ReadText(ResultName(aJob),
+  co_return co_await ReadText(ResultChunkPrefix(aJob),
                               aJob.record_.result_,
                               aJob.record_.resultChunks_,
                               aDeadline);
@@ -200,12 +203,12 @@
                                                            TimePoint aDeadline)
 {
   std::string text = PackText(aResult);
-  if (text.size() <= kInlineBytes) {
+  if (text.size() <= kMaxInlineBytes) {
     aJob.record_.result_ = std::move(text);
     co_return aJob;
   }
   const auto written =
-    co_await WriteChunks(ResultName(aJob), std::move(text), aDeadline);
+    co_await WriteChunks(ResultChunkPrefix(aJob), std::move(text), aDeadline);
   if (!written) {
     co_return written.error();
   }
@@ -222,9 +225,9 @@
     co_return removed.error();
   }
   co_await RemoveChunks(
-    RequestName(aJob), aJob.record_.requestChunks_, aDeadline);
+    RequestChunkPrefix(aJob), aJob.record_.requestChunks_, aDeadline);
   co_await RemoveChunks(
-    ResultName(aJob), aJob.record_.resultChunks_, aDeadline);
+    ResultChunkPrefix(aJob), aJob.record_.resultChunks_, aDeadline);
   co_return boost::outcome_v2::success();
 }
 
--- a/src/clients/gooseberrylift-load-words.cc
+++ b/src/clients/gooseberrylift-load-words.cc
@@ -12,26 +12,28 @@
 
 namespace {
 
-// A read that others must know of at once: it takes longer than a pass that
-// callers of short requests bear.
-constexpr milliseconds kLongRead{ 150 };
+// A backlog above this is a long prompt, which other zones must know of at
+// once: it occupies an engine for longer than callers of short requests
+// tolerate.
+constexpr milliseconds kLongPrefill{ 150 };
 
-// How often it is looked whether a word must be repeated.
-constexpr milliseconds kRepeatCheck{ 100 };
+// How often to check whether a snapshot must be repeated.
+constexpr milliseconds kRepeatCheckInterval{ 100 };
 
-// Says whether a host has just placed a long prompt.
-bool HasLongRead(const LoadMessage& aWord)
+// Returns whether the sender has just placed a long prompt.
+bool HasLongPrefill(const LoadMessage& aMessage)
 {
-  return aWord.kind_ == LoadMessageKind::kDelta &&
-         std::any_of(aWord.shares_.begin(),
-                     aWord.shares_.end(),
+  return aMessage.kind_ == LoadMessageKind::kDelta &&
+         std::any_of(aMessage.shares_.begin(),
+                     aMessage.shares_.end(),
                      [](const EndpointShare& aShare) {
-                       return aShare.backlog_ > kLongRead;
+                       return aShare.backlog_ > kLongPrefill;
                      });
 }
 
-// Words of a host's next start must follow those of this one.
-std::uint64_t FirstSequence()
+// The wall-clock time, so that the sequence numbers continue to rise when a
+// host restarts.
+std::uint64_t InitialSequence()
 {
   return static_cast<std::uint64_t>(
     std::chrono::duration_cast<std::chrono::microseconds>(
@@ -44,21 +46,21 @@
 LoadWords::LoadWords(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
-  , pace_(options_.pace_)
-  , sequence_(FirstSequence())
+  , pacer_(options_.pacerOptions_)
+  , sequence_(InitialSequence())
   , random_(static_cast<std::minstd_rand::result_type>(sequence_))
 {
   parts_.datagrams_.SetReceiver(
     PeerTopic::kLoad,
     [this](std::string_view aBytes, const PeerAddress& /*aFrom*/) {
-      TakeIn(aBytes);
+      HandleDatagram(aBytes);
     });
 }
 
 void LoadWords::Start()
 {
-  repeat_ =
-    TimerService::Every(kRepeatCheck, parts_.executor_, [this] { Repeat(); });
+  repeatTimer_ = TimerService::Every(
+    kRepeatCheckInterval, parts_.executor_, [this] { RepeatSnapshot(); });
 }
 
 void LoadWords::OnPlaced(const std::vector<ListedEndpoint>& aEndpoints,
@@ -69,162 +71,169 @@
   }
   const TimePoint now = TimerService::Now();
   const std::size_t peers = near_.size();
-  if (!aUrgent && !pace_.MaySendDelta(now, peers)) {
-    SendWholeSoon(); // it goes with that
+  if (!aUrgent && !pacer_.MaySendDelta(now, peers)) {
+    ScheduleSnapshot(); // which includes this request
     return;
   }
-  pace_.OnDeltaSent(now, peers);
+  pacer_.OnDeltaSent(now, peers);
   Send({ .host_ = options_.host_,
          .sequence_ = ++sequence_,
          .kind_ = LoadMessageKind::kDelta,
          .shares_ = parts_.ownAt_(aEndpoints) },
        near_);
-  told_ = true;
+  lastMessageHadLoad_ = true;
   if (aUrgent) {
-    TellZoneSoon();
+    SendTotalsIfAllowed();
   }
 }
 
-void LoadWords::SendWholeSoon()
+void LoadWords::ScheduleSnapshot()
 {
-  if (!parts_.datagrams_.IsOpen() || armed_) {
+  if (!parts_.datagrams_.IsOpen() || snapshotScheduled_) {
     return;
   }
-  armed_ = true;
+  snapshotScheduled_ = true;
   const TimePoint due =
-    pace_.NextSnapshotTime(TimerService::Now(), near_.size());
-  SpawnTask(parts_.executor_, SendAt(due));
+    pacer_.NextSnapshotTime(TimerService::Now(), near_.size());
+  SpawnTask(parts_.executor_, SendSnapshotAt(due));
 }
 
-asio::awaitable<void> LoadWords::SendAt(TimePoint aWhen)
+asio::awaitable<void> LoadWords::SendSnapshotAt(TimePoint aWhen)
 {
   co_await TimerService::SleepUntil(aWhen);
-  armed_ = false;
-  SendWhole();
+  snapshotScheduled_ = false;
+  SendSnapshot();
 }
 
-void LoadWords::Repeat()
+void LoadWords::RepeatSnapshot()
 {
-  if (told_ && pace_.IsRepeatDue(TimerService::Now(), near_.size())) {
-    SendWhole();
+  if (lastMessageHadLoad_ &&
+      pacer_.IsRepeatDue(TimerService::Now(), near_.size())) {
+    SendSnapshot();
   }
 }
 
-void LoadWords::SendWhole()
+void LoadWords::SendSnapshot()
 {
   if (!parts_.datagrams_.IsOpen()) {
     return;
   }
-  const LoadMessage word{ .host_ = options_.host_,
-                          .sequence_ = ++sequence_,
-                          .shares_ = parts_.own_() };
-  Send(word, near_);
-  told_ = !word.shares_.empty();
-  pace_.OnSnapshotSent(TimerService::Now());
+  const LoadMessage message{ .host_ = options_.host_,
+                             .sequence_ = ++sequence_,
+                             .shares_ = parts_.own_() };
+  Send(message, near_);
+  lastMessageHadLoad_ = !message.shares_.empty();
+  pacer_.OnSnapshotSent(TimerService::Now());
 }
 
-void LoadWords::Send(const LoadMessage& aWord,
+void LoadWords::Send(const LoadMessage& aMessage,
                      const std::vector<PeerAddress>& aTo)
 {
-  for (const std::string& datagram : EncodeLoadMessage(aWord)) {
+  for (const std::string& datagram : EncodeLoadMessage(aMessage)) {
     parts_.datagrams_.Send(PeerTopic::kLoad, datagram, aTo);
   }
 }
 
 void LoadWords::SetPeers(const LoadMessagePeers& aPeers)
 {
-  near_ = PeerAddressesOf(aPeers.near_);
-  successors_ = PeerAddressesOf(aPeers.successors_);
+  near_ = ParsePeerAddresses(aPeers.near_);
+  successors_ = ParsePeerAddresses(aPeers.successors_);
   rank_ = aPeers.rank_;
   far_.clear();
   for (const auto& [zone, addresses] : aPeers.far_) {
-    far_[zone] = PeerAddressesOf(addresses);
+    far_[zone] = ParsePeerAddresses(addresses);
   }
   if (far_.empty()) {
-    zone_.Cancel();
-    sumsAt_ = false;
-  } else if (!sumsAt_) {
-    sumsAt_ = true;
-    zone_ = TimerService::Every(
-      options_.sums_, parts_.executor_, [this] { TellZone(); });
+    totalsTimer_.Cancel();
+    totalsTimerRuns_ = false;
+  } else if (!totalsTimerRuns_) {
+    totalsTimerRuns_ = true;
+    totalsTimer_ = TimerService::Every(
+      options_.totalsInterval_, parts_.executor_, [this] { SendTotals(); });
   }
 }
 
-void LoadWords::TellZone()
+void LoadWords::SendTotals()
 {
   const TimePoint now = TimerService::Now();
-  const bool sums = parts_.datagrams_.IsOpen() && !far_.empty() &&
-                    turn_.IsAggregator(now, rank_);
-  if (sums != sums_) {
-    sums_ = sums;
+  const bool isAggregator = parts_.datagrams_.IsOpen() && !far_.empty() &&
+                            aggregatorRole_.IsAggregator(now, rank_);
+  if (isAggregator != isAggregator_) {
+    isAggregator_ = isAggregator;
     zoneAggregator_.Restart();
     Log(LogEvent::kZoneSummed,
-        { { "sums", sums }, { "zone", options_.zone_ }, { "rank", rank_ } });
+        { { "sums", isAggregator },
+          { "zone", options_.zone_ },
+          { "rank", rank_ } });
   }
-  if (!sums) {
+  if (!isAggregator) {
     return;
   }
-  summed_ = now;
-  const auto word = zoneAggregator_.NextMessage(parts_.zoneSums_(), now);
-  if (!word) {
+  lastTotals_ = now;
+  const auto message = zoneAggregator_.NextMessage(parts_.zoneSums_(), now);
+  if (!message) {
     return;
   }
-  if (word->kind_ == LoadMessageKind::kSnapshot) {
-    SendToZones(word->kind_, word->shares_);
+  if (message->kind_ == LoadMessageKind::kSnapshot) {
+    SendToOtherZones(message->kind_, message->shares_);
     return;
   }
-  // A change is told or lost by itself, so each datagram is a word of its own.
-  auto begin = word->shares_.begin();
+  // Each datagram of a delta is applied or lost independently, so each one is
+  // sent as a separate message.
+  auto begin = message->shares_.begin();
   do {
-    const auto left = static_cast<std::size_t>(word->shares_.end() - begin);
-    const auto end =
-      begin + static_cast<std::ptrdiff_t>(std::min(left, kSharesPerDatagram));
-    SendToZones(word->kind_, { begin, end });
+    const auto remaining =
+      static_cast<std::size_t>(message->shares_.end() - begin);
+    const auto end = begin + static_cast<std::ptrdiff_t>(
+                               std::min(remaining, kSharesPerDatagram));
+    SendToOtherZones(message->kind_, { begin, end });
     begin = end;
-  } while (begin != word->shares_.end());
+  } while (begin != message->shares_.end());
 }
 
-void LoadWords::TellZoneSoon()
+void LoadWords::SendTotalsIfAllowed()
 {
-  if (sums_ && TimerService::Now() - summed_ >= options_.leastBetweenSums_) {
-    TellZone();
+  if (isAggregator_ &&
+      TimerService::Now() - lastTotals_ >= options_.minTotalsInterval_) {
+    SendTotals();
   }
 }
 
-void LoadWords::SendToZones(LoadMessageKind aPart,
-                            std::vector<EndpointShare> aShares)
+void LoadWords::SendToOtherZones(LoadMessageKind aKind,
+                                 std::vector<EndpointShare> aShares)
 {
-  LoadMessage word{ .host_ = options_.host_,
-                    .sequence_ = ++sequence_,
-                    .kind_ = aPart,
-                    .shares_ = std::move(aShares),
-                    .zone_ = options_.zone_ };
-  Send(word, successors_);
-  word.relayToZone_ = true;
+  LoadMessage message{ .host_ = options_.host_,
+                       .sequence_ = ++sequence_,
+                       .kind_ = aKind,
+                       .shares_ = std::move(aShares),
+                       .zone_ = options_.zone_ };
+  Send(message, successors_);
+  message.relayToZone_ = true;
   for (const auto& [zone, hosts] : far_) {
-    Send(word, { hosts[random_() % hosts.size()] });
+    Send(message, { hosts[random_() % hosts.size()] });
   }
 }
 
-void LoadWords::PassOn(LoadMessage aWord)
+void LoadWords::RelayToZone(LoadMessage aMessage)
 {
-  aWord.relayToZone_ = false;
-  Send(aWord, near_);
+  aMessage.relayToZone_ = false;
+  Send(aMessage, near_);
 }
 
-void LoadWords::TakeIn(std::string_view aBytes)
+void LoadWords::HandleDatagram(std::string_view aBytes)
 {
-  const auto word = DecodeLoadMessage(aBytes);
-  if (!word) {
+  const auto message = DecodeLoadMessage(aBytes);
+  if (!message) {
     return;
   }
-  parts_.take_(*word);
-  if (word->zone_ == options_.zone_) {
-    turn_.OnAggregateReceived(TimerService::Now());
-  } else if (word->relayToZone_) {
-    PassOn(*word);
-  } else if (sums_ && HasLongRead(*word)) {
-    TellZoneSoon(); // others would take the same idle endpoints
+  parts_.take_(*message);
+  if (message->zone_ == options_.zone_) {
+    aggregatorRole_.OnAggregateReceived(TimerService::Now());
+  } else if (message->relayToZone_) {
+    RelayToZone(*message);
+  } else if (isAggregator_ && HasLongPrefill(*message)) {
+    // Other zones would otherwise choose the same idle endpoints.
+    SendTotalsIfAllowed();
   }
 }
 
--- a/src/clients/gooseberrylift-member-list.cc
+++ b/src/clients/gooseberrylift-member-list.cc
@@ -14,27 +14,30 @@
 
 namespace {
 
-// Incarnations are wall milliseconds of the start. A member that started
-// within this time may not have been heard of yet.
-constexpr std::uint64_t kYoungMilliseconds = 120'000;
-
-// Each failed try means that another host of the zone wrote.
-constexpr int kTries = 16;
-
-// Before another try, at random up to this, doubled with each one. Hosts that
-// start together all write the same object; without the pauses thirty of them
-// make 900 calls, of which thirty succeed. A write takes some 10 ms.
-constexpr std::chrono::milliseconds kFirstPause{ 40 };
-constexpr int kMostDoublings = 4;
-
-std::chrono::milliseconds PauseAfter(int aTries, std::minstd_rand& aRandom)
+// An incarnation is the wall-clock time of a host's start in milliseconds. A
+// member that started within this time is kept even if it is not known to be
+// live, because its first messages may not have arrived yet.
+constexpr std::uint64_t kNewMemberMs = 120'000;
+
+// A failed attempt normally means that another host of the zone wrote the list.
+constexpr int kMaxAttempts = 16;
+
+// Upper bound of the random delay before the second attempt; doubled with each
+// further one. Hosts that start together all write the same object: without the
+// delays thirty of them make 900 calls, of which thirty succeed. A write takes
+// about 10 ms.
+constexpr std::chrono::milliseconds kInitialBackoff{ 40 };
+constexpr int kMaxBackoffDoublings = 4;
+
+std::chrono::milliseconds RandomBackoff(int aAttempt, std::minstd_rand& aRandom)
 {
-  const auto most = kFirstPause * (1 << std::min(aTries, kMostDoublings));
+  const auto bound =
+    kInitialBackoff * (1 << std::min(aAttempt, kMaxBackoffDoublings));
   return std::chrono::milliseconds(aRandom() %
-                                   static_cast<std::uint64_t>(most.count()));
+                                   static_cast<std::uint64_t>(bound.count()));
 }
 
-std::vector<PeerMember> MembersOf(const StoreObject& aObject)
+std::vector<PeerMember> ParseMembers(const StoreObject& aObject)
 {
   std::vector<PeerMember> members;
   for (const json& item : aObject.spec_.value("members", json::array())) {
@@ -48,7 +51,7 @@
   return members;
 }
 
-json SpecOf(const std::vector<PeerMember>& aMembers)
+json MakeSpec(const std::vector<PeerMember>& aMembers)
 {
   json list = json::array();
   for (const PeerMember& member : aMembers) {
@@ -65,7 +68,8 @@
   return spec;
 }
 
-bool Stands(const std::vector<PeerMember>& aMembers, const PeerMember& aSelf)
+bool IsRegistered(const std::vector<PeerMember>& aMembers,
+                  const PeerMember& aSelf)
 {
   return std::any_of(
     aMembers.begin(), aMembers.end(), [&](const PeerMember& aMember) {
@@ -75,15 +79,14 @@
     });
 }
 
-std::vector<PeerMember> WithSelf(std::vector<PeerMember> aMembers,
-                                 const PeerMember& aSelf,
-                                 const std::set<std::string>& aLive)
+std::vector<PeerMember> AddSelfAndPrune(std::vector<PeerMember> aMembers,
+                                        const PeerMember& aSelf,
+                                        const std::set<std::string>& aLive)
 {
   std::erase_if(aMembers, [&](const PeerMember& aMember) {
-    const bool young =
-      aMember.incarnation_ + kYoungMilliseconds > aSelf.incarnation_;
+    const bool isNew = aMember.incarnation_ + kNewMemberMs > aSelf.incarnation_;
     return aMember.host_ == aSelf.host_ ||
-           (!young && !aLive.contains(aMember.host_));
+           (!isNew && !aLive.contains(aMember.host_));
   });
   aMembers.push_back(aSelf);
   return aMembers;
@@ -105,7 +108,7 @@
 {
   std::vector<PeerMember> all;
   for (const StoreObject& object : aList.items_) {
-    const std::vector<PeerMember> members = MembersOf(object);
+    const std::vector<PeerMember> members = ParseMembers(object);
     all.insert(all.end(), members.begin(), members.end());
   }
   return all;
@@ -131,25 +134,27 @@
 {
   std::minstd_rand random(
     std::hash<std::string>{}(aSelf.host_ + std::to_string(aSelf.incarnation_)));
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const auto list = co_await aStore.List(kMembersKind, aDeadline);
     if (!list) {
       co_return list.error();
     }
     StoreObject object = ZoneObject(list.value(), aSelf.zone_);
-    const std::vector<PeerMember> members = MembersOf(object);
-    if (Stands(members, aSelf)) {
+    const std::vector<PeerMember> members = ParseMembers(object);
+    if (IsRegistered(members, aSelf)) {
       co_return AllMembers(list.value());
     }
-    object.spec_ = SpecOf(WithSelf(members, aSelf, aLive));
-    // The next turn reads back what became of it, whatever the answer: that
-    // settles a conflict and a lost answer alike.
+    object.spec_ = MakeSpec(AddSelfAndPrune(members, aSelf, aLive));
+    // The next iteration reads the list again regardless of the response, which
+    // handles conflicts and lost responses alike.
     const auto written = co_await Write(aStore, std::move(object), aDeadline);
     if (!written) {
-      co_await TimerService::SleepFor(PauseAfter(attempt, random));
+      co_await TimerService::SleepFor(RandomBackoff(attempt, random));
     }
   }
-  co_return MakeError(ResultCode::kStoreConflict, "the list of members");
+  co_return MakeError(ResultCode::kStoreConflict,
+                      "cannot register in the member list of zone " +
+                        aSelf.zone_);
 }
 
 } // namespace gooseberrylift
--- a/src/clients/gooseberrylift-peer-datagrams.cc
+++ b/src/clients/gooseberrylift-peer-datagrams.cc
@@ -16,19 +16,20 @@
 
 namespace {
 
-// Datagrams taken in at once; then requests get their turn.
-constexpr int kMostAtOnce = 32;
+// Datagrams handled in a row before other tasks of the executor, such as
+// requests, get to run.
+constexpr int kMaxDatagramsPerWakeup = 32;
 
-std::optional<PeerAddress> PeerAddressOf(const std::string& aAddress)
+std::optional<PeerAddress> ParsePeerAddress(const std::string& aAddress)
 {
   const std::size_t colon = aAddress.rfind(':');
   if (colon == std::string::npos) {
     return std::nullopt;
   }
-  boost::system::error_code fault;
-  const auto ip = asio::ip::make_address(aAddress.substr(0, colon), fault);
+  boost::system::error_code error;
+  const auto ip = asio::ip::make_address(aAddress.substr(0, colon), error);
   const int port = std::atoi(aAddress.c_str() + colon + 1);
-  if (fault || port <= 0) {
+  if (error || port <= 0) {
     return std::nullopt;
   }
   return PeerAddress(ip, static_cast<std::uint16_t>(port));
@@ -36,20 +37,20 @@
 
 } // namespace
 
-std::vector<PeerAddress> PeerAddressesOf(
+std::vector<PeerAddress> ParsePeerAddresses(
   const std::vector<std::string>& aAddresses)
 {
   std::vector<PeerAddress> addresses;
   addresses.reserve(aAddresses.size());
   for (const std::string& text : aAddresses) {
-    if (const auto address = PeerAddressOf(text)) {
+    if (const auto address = ParsePeerAddress(text)) {
       addresses.push_back(*address);
     }
   }
   return addresses;
 }
 
-std::string TextOf(const PeerAddress& aAddress)
+std::string FormatPeerAddress(const PeerAddress& aAddress)
 {
   return aAddress.address().to_string() + ":" + std::to_string(aAddress.port());
 }
@@ -59,23 +60,23 @@
                                    std::string aKey)
 {
   key_ = std::move(aKey);
-  boost::system::error_code fault;
-  const PeerAddress local(asio::ip::make_address(aAddress, fault), aPort);
-  if (!fault) {
-    socket_.open(local.protocol(), fault);
+  boost::system::error_code error;
+  const PeerAddress local(asio::ip::make_address(aAddress, error), aPort);
+  if (!error) {
+    socket_.open(local.protocol(), error);
   }
-  if (!fault) {
-    socket_.bind(local, fault);
+  if (!error) {
+    socket_.bind(local, error);
   }
-  if (!fault) {
-    socket_.non_blocking(true, fault);
+  if (!error) {
+    socket_.non_blocking(true, error);
   }
-  if (fault) {
-    boost::system::error_code none;
-    socket_.close(none);
+  if (error) {
+    boost::system::error_code ignored;
+    socket_.close(ignored);
     return Error{ .code_ = ResultCode::kListenFailed,
                   .text_ = "UDP port " + std::to_string(aPort) + ": " +
-                           fault.message() };
+                           error.message() };
   }
   SpawnTask(executor_, Receive());
   return boost::outcome_v2::success();
@@ -90,11 +91,12 @@
   }
   std::string datagram(1, static_cast<char>(aTopic));
   datagram += aBytes;
-  datagram.insert(0, MacOf(key_, datagram));
+  datagram.insert(0, ComputeMac(key_, datagram));
   for (const PeerAddress& to : aTo) {
-    // One that finds no room in the socket is as good as one lost on the way.
-    boost::system::error_code lost;
-    socket_.send_to(asio::buffer(datagram), to, 0, lost);
+    // If the send buffer is full, the datagram is treated like one that was
+    // lost on the network.
+    boost::system::error_code ignored;
+    socket_.send_to(asio::buffer(datagram), to, 0, ignored);
   }
 }
 
@@ -102,44 +104,48 @@
 {
   while (true) {
     PeerAddress from;
-    boost::system::error_code fault;
+    boost::system::error_code error;
     const std::size_t size = co_await socket_.async_receive_from(
       asio::buffer(buffer_),
       from,
-      asio::redirect_error(asio::use_awaitable, fault));
-    if (fault == asio::error::operation_aborted) {
+      asio::redirect_error(asio::use_awaitable, error));
+    if (error == asio::error::operation_aborted) {
       co_return;
     }
-    if (!fault) { // else a peer's port was closed; it will be back
-      TakeIn(std::string_view(buffer_.data(), size), from);
-      TakeInWaiting();
+    // An error here means that an earlier datagram was sent to a closed port of
+    // a peer. It is ignored, because the peer will open the port again.
+    if (!error) {
+      HandleDatagram(std::string_view(buffer_.data(), size), from);
+      HandlePendingDatagrams();
     }
   }
 }
 
-// Datagrams come in groups; a wait for each costs more than taking it in.
-void PeerDatagrams::TakeInWaiting()
+// Handles the datagrams that have already arrived. They come in groups, and an
+// asynchronous wait for each one costs more than handling it.
+void PeerDatagrams::HandlePendingDatagrams()
 {
-  for (int taken = 0; taken < kMostAtOnce; ++taken) {
+  for (int count = 0; count < kMaxDatagramsPerWakeup; ++count) {
     PeerAddress from;
-    boost::system::error_code none;
+    boost::system::error_code error;
     const std::size_t size =
-      socket_.receive_from(asio::buffer(buffer_), from, 0, none);
-    if (none) {
+      socket_.receive_from(asio::buffer(buffer_), from, 0, error);
+    if (error) {
       return;
     }
-    TakeIn(std::string_view(buffer_.data(), size), from);
+    HandleDatagram(std::string_view(buffer_.data(), size), from);
   }
 }
 
-void PeerDatagrams::TakeIn(std::string_view aDatagram, const PeerAddress& aFrom)
+void PeerDatagrams::HandleDatagram(std::string_view aDatagram,
+                                   const PeerAddress& aFrom)
 {
   if (aDatagram.size() <= kMacBytes) {
     return;
   }
   const std::string_view bytes = aDatagram.substr(kMacBytes);
-  if (!IsMacOf(key_, bytes, aDatagram.substr(0, kMacBytes))) {
-    return; // a stranger, or a host with another key
+  if (!VerifyMac(key_, bytes, aDatagram.substr(0, kMacBytes))) {
+    return; // not from a host of this fleet, or from one with another key
   }
   const auto receiver = receivers_.find(static_cast<PeerTopic>(bytes.front()));
   if (receiver != receivers_.end()) {
--- a/src/clients/gooseberrylift-peer-rpc.cc
+++ b/src/clients/gooseberrylift-peer-rpc.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr const char* kPath = "/rpc";
+constexpr const char* kRpcPath = "/rpc";
 constexpr const char* kSignatureField = "X-Peer-Signature";
 
 std::string Hmac(const std::string& aKey, const std::string& aBody)
@@ -52,14 +52,14 @@
   return { .code_ = aCode, .text_ = std::move(aText) };
 }
 
-HttpRequest RequestOf(std::string aBody, std::string aSignature)
+HttpRequest MakeSignedRequest(std::string aBody, std::string aSignature)
 {
-  HttpRequest request = MakeRequest("POST", kPath, std::move(aBody));
+  HttpRequest request = MakeRequest("POST", kRpcPath, std::move(aBody));
   request.fields_.push_back({ kSignatureField, std::move(aSignature) });
   return request;
 }
 
-HttpResponse ResponseOf(std::string aBody, std::string aSignature)
+HttpResponse MakeSignedResponse(std::string aBody, std::string aSignature)
 {
   HttpResponse response = JsonResponse(200, std::move(aBody));
   response.fields_.push_back({ kSignatureField, std::move(aSignature) });
@@ -71,7 +71,7 @@
 PeerRpc::PeerRpc(HttpClient& aClient, Options aOptions)
   : client_(aClient)
   , options_(std::move(aOptions))
-  , replay_(ReplayGuard::Options{})
+  , replayGuard_(ReplayGuard::Options{})
 {
   std::random_device device;
   noncePrefix_ = options_.host_ + "-" + std::to_string(device()) + "-" +
@@ -94,9 +94,9 @@
   }
   const std::string nonce = params.value("nonce", "");
   const std::chrono::milliseconds sent(params.value("at", std::int64_t{ 0 }));
-  // A message recorded on the network carries a good signature for ever. It is
-  // of no use elsewhere, because it names its receiver, and none later,
-  // because its number and time are checked.
+  // The signature of a message recorded on the network remains valid. A replay
+  // to another host is rejected because the message names its receiver, and a
+  // later replay because its nonce and send time are checked.
   const std::string receiver = params.value("to", "");
   if (receiver.empty() ||
       (receiver != options_.host_ && !addresses_.contains(receiver))) {
@@ -104,10 +104,10 @@
   }
   {
     const std::lock_guard lock(mutex_);
-    if (!replay_.Accept(
+    if (!replayGuard_.Accept(
           nonce, ReplayGuard::Time(sent), std::chrono::system_clock::now())) {
       Log(LogEvent::kPeerRefused,
-          { { "reason", "replayed or clocks differ" } });
+          { { "reason", "replayed message, or clocks differ" } });
       return json{ { "refused", "replayed, or clocks differ" } }.dump();
     }
   }
@@ -117,7 +117,7 @@
   return result.dump();
 }
 
-json PeerRpc::Envelope(const Target& aTarget, json aParams)
+json PeerRpc::MakeEnvelope(const Target& aTarget, json aParams)
 {
   return { { "to", aTarget.host_ },
            { "at", WallMilliseconds() },
@@ -130,40 +130,42 @@
                                              json aParams,
                                              TimePoint aDeadline)
 {
-  const json envelope = Envelope(aTarget, std::move(aParams));
+  const json envelope = MakeEnvelope(aTarget, std::move(aParams));
   const std::string body = MakeJsonRpcRequest(aMethod, envelope.dump());
-  bytes_ += body.size();
+  byteCount_ += body.size();
   const auto response = co_await client_.Fetch(
-    aTarget.address_, RequestOf(body, Sign(body)), aDeadline);
+    aTarget.address_, MakeSignedRequest(body, Sign(body)), aDeadline);
   if (!response) {
     co_return PeerError(ResultCode::kPeerUnreachable, response.error().text_);
   }
-  bytes_ += response.value().body_.size();
+  byteCount_ += response.value().body_.size();
   if (response.value().status_ != 200 ||
       !IsSigned(response.value().body_,
                 response.value().Field(kSignatureField))) {
     co_return PeerError(ResultCode::kPeerRefused,
-                        aTarget.host_ + ": status " +
+                        aTarget.host_ + ": invalid signature, or status " +
                           std::to_string(response.value().status_));
   }
   std::string text;
-  if (!ReadJsonRpcAnswer(response.value().body_, text)) {
-    co_return PeerError(ResultCode::kPeerRefused, "an error for an answer");
+  if (!ParseJsonRpcResponse(response.value().body_, text)) {
+    co_return PeerError(ResultCode::kPeerRefused,
+                        aTarget.host_ + ": not a JSON-RPC result");
   }
-  const json answer = json::parse(text, nullptr, false);
-  const bool matches = answer.is_object() &&
-                       answer.value("nonce", "") == envelope.at("nonce") &&
-                       answer.contains("result");
+  const json reply = json::parse(text, nullptr, false);
+  const bool matches = reply.is_object() &&
+                       reply.value("nonce", "") == envelope.at("nonce") &&
+                       reply.contains("result");
   if (!matches) {
     co_return PeerError(ResultCode::kPeerRefused,
-                        aTarget.host_ + ": " + text.substr(0, 200));
+                        aTarget.host_ +
+                          ": unexpected result: " + text.substr(0, 200));
   }
-  co_return answer.at("result");
+  co_return reply.at("result");
 }
 
 bool PeerRpc::IsCall(const HttpRequest& aRequest)
 {
-  return aRequest.method_ == "POST" && aRequest.Path() == kPath;
+  return aRequest.method_ == "POST" && aRequest.Path() == kRpcPath;
 }
 
 asio::awaitable<void> PeerRpc::Handle(HttpExchange& aExchange)
@@ -181,10 +183,10 @@
       ErrorResponse(MakeError(ResultCode::kPeerRefused), {}));
     co_return;
   }
-  bytes_ += request.body_.size();
-  const std::string answer = server_.Dispatch(request.body_);
-  bytes_ += answer.size();
-  co_await aExchange.Send(ResponseOf(answer, Sign(answer)));
+  byteCount_ += request.body_.size();
+  const std::string response = server_.Dispatch(request.body_);
+  byteCount_ += response.size();
+  co_await aExchange.Send(MakeSignedResponse(response, Sign(response)));
 }
 
 std::string PeerRpc::Sign(const std::string& aBody) const
--- a/src/clients/gooseberrylift-rest-store.cc
+++ b/src/clients/gooseberrylift-rest-store.cc
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr std::string_view kRoot = "/apis/gooseberrylift.dev/v1/";
+constexpr std::string_view kApiPrefix = "/apis/gooseberrylift.dev/v1/";
 
-std::string PathOf(const std::string& aKind)
+std::string ResourcePath(const std::string& aKind)
 {
-  return std::string(kRoot) + aKind;
+  return std::string(kApiPrefix) + aKind;
 }
 
-std::string PathOf(const std::string& aKind, const std::string& aName)
+std::string ResourcePath(const std::string& aKind, const std::string& aName)
 {
-  return PathOf(aKind) + "/" + aName;
+  return ResourcePath(aKind) + "/" + aName;
 }
 
-StoreObject ObjectOf(const json& aBody)
+StoreObject ToStoreObject(const json& aBody)
 {
   return { .kind_ = aBody.value("kind", ""),
            .name_ = aBody.value("/metadata/name"_json_pointer, ""),
@@ -30,7 +30,7 @@
            .spec_ = aBody.value("spec", json::object()) };
 }
 
-std::string BodyOf(const StoreObject& aObject)
+std::string ToRequestBody(const StoreObject& aObject)
 {
   json metadata = { { "name", aObject.name_ } };
   if (!aObject.version_.empty()) {
@@ -43,7 +43,7 @@
   }.dump();
 }
 
-Error Unavailable(std::string aText, RanState aRan)
+Error StoreUnavailable(std::string aText, RanState aRan)
 {
   return { .code_ = ResultCode::kStoreUnavailable,
            .text_ = std::move(aText),
@@ -51,9 +51,9 @@
            .retryAfter_ = std::chrono::milliseconds(1000) };
 }
 
-// An answer with a status is a proof that a refused write had no effect; a 5xx
-// is none, since it may come from something in between.
-std::optional<Error> FaultOf(const HttpResponse& aResponse)
+// A status below 500 proves that a rejected write had no effect. A 5xx status
+// does not, because it may come from a proxy in between.
+std::optional<Error> ErrorFromStatus(const HttpResponse& aResponse)
 {
   switch (aResponse.status_) {
     case 200:
@@ -66,11 +66,11 @@
     case 410:
       return Error{ .code_ = ResultCode::kStoreGone };
     case 429:
-      return Unavailable("the store is over its rate", RanState::kNo);
+      return StoreUnavailable("the store limits the call rate", RanState::kNo);
     default:
-      return Unavailable("status " + std::to_string(aResponse.status_),
-                         aResponse.status_ < 500 ? RanState::kNo
-                                                 : RanState::kUnknown);
+      return StoreUnavailable(
+        "the store responded with status " + std::to_string(aResponse.status_),
+        aResponse.status_ < 500 ? RanState::kNo : RanState::kUnknown);
   }
 }
 
@@ -87,7 +87,7 @@
   return options_.addresses_[current_ % options_.addresses_.size()];
 }
 
-void RestStore::Count(std::string_view aKind) const
+void RestStore::ReportCall(std::string_view aKind) const
 {
   if (options_.onCall_) {
     options_.onCall_(aKind);
@@ -101,14 +101,15 @@
     co_await client_.Fetch(Address(), std::move(aRequest), aDeadline);
   if (!response) {
     ++current_;
-    co_return Unavailable(response.error().text_, response.error().ran_);
+    co_return StoreUnavailable(response.error().text_, response.error().ran_);
   }
-  if (const auto fault = FaultOf(response.value())) {
-    co_return *fault;
+  if (const auto error = ErrorFromStatus(response.value())) {
+    co_return *error;
   }
   json body = json::parse(response.value().body_, nullptr, false);
   if (body.is_discarded()) {
-    co_return Unavailable("the answer is not JSON", RanState::kUnknown);
+    co_return StoreUnavailable("the response of the store is not JSON",
+                               RanState::kUnknown);
   }
   co_return body;
 }
@@ -117,19 +118,20 @@
                                                       std::string aName,
                                                       TimePoint aDeadline)
 {
-  Count("read");
-  const auto body = co_await Call(MakeRequest(PathOf(aKind, aName)), aDeadline);
+  ReportCall("read");
+  const auto body =
+    co_await Call(MakeRequest(ResourcePath(aKind, aName)), aDeadline);
   if (!body) {
     co_return body.error();
   }
-  co_return ObjectOf(body.value());
+  co_return ToStoreObject(body.value());
 }
 
 asio::awaitable<Outcome<StoreList>> RestStore::List(std::string aKind,
                                                     TimePoint aDeadline)
 {
-  Count("list");
-  const auto body = co_await Call(MakeRequest(PathOf(aKind)), aDeadline);
+  ReportCall("list");
+  const auto body = co_await Call(MakeRequest(ResourcePath(aKind)), aDeadline);
   if (!body) {
     co_return body.error();
   }
@@ -137,7 +139,7 @@
   list.version_ =
     body.value().value("/metadata/resourceVersion"_json_pointer, "");
   for (const json& item : body.value().value("items", json::array())) {
-    list.items_.push_back(ObjectOf(item));
+    list.items_.push_back(ToStoreObject(item));
   }
   co_return list;
 }
@@ -145,26 +147,29 @@
 asio::awaitable<Outcome<StoreObject>> RestStore::Create(StoreObject aObject,
                                                         TimePoint aDeadline)
 {
-  Count("write");
+  ReportCall("write");
   const auto body = co_await Call(
-    MakeRequest("POST", PathOf(aObject.kind_), BodyOf(aObject)), aDeadline);
+    MakeRequest("POST", ResourcePath(aObject.kind_), ToRequestBody(aObject)),
+    aDeadline);
   if (!body) {
     co_return body.error();
   }
-  co_return ObjectOf(body.value());
+  co_return ToStoreObject(body.value());
 }
 
 asio::awaitable<Outcome<StoreObject>> RestStore::Update(StoreObject aObject,
                                                         TimePoint aDeadline)
 {
-  Count("write");
-  const auto body = co_await Call(
-    MakeRequest("PUT", PathOf(aObject.kind_, aObject.name_), BodyOf(aObject)),
-    aDeadline);
+  ReportCall("write");
+  const auto body =
+    co_await Call(MakeRequest("PUT",
+                              ResourcePath(aObject.kind_, aObject.name_),
+                              ToRequestBody(aObject)),
+                  aDeadline);
   if (!body) {
     co_return body.error();
   }
-  co_return ObjectOf(body.value());
+  co_return ToStoreObject(body.value());
 }
 
 asio::awaitable<Outcome<void>> RestStore::Delete(std::string aKind,
@@ -172,10 +177,11 @@
                                                  std::string aVersion,
                                                  TimePoint aDeadline)
 {
-  Count("write");
+  ReportCall("write");
   const auto body = co_await Call(
-    MakeRequest(
-      "DELETE", PathOf(aKind, aName) + "?resourceVersion=" + aVersion, {}),
+    MakeRequest("DELETE",
+                ResourcePath(aKind, aName) + "?resourceVersion=" + aVersion,
+                {}),
     aDeadline);
   if (!body) {
     co_return body.error();
@@ -190,26 +196,26 @@
   std::chrono::milliseconds aWait,
   TimePoint aDeadline)
 {
-  Count("watch");
+  ReportCall("watch");
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(aWait);
-  HttpRequest request =
-    MakeRequest(PathOf(aKind) + "?watch=true&resourceVersion=" + aVersion +
-                "&timeoutSeconds=" + std::to_string(seconds.count()));
+  HttpRequest request = MakeRequest(
+    ResourcePath(aKind) + "?watch=true&resourceVersion=" + aVersion +
+    "&timeoutSeconds=" + std::to_string(seconds.count()));
   const HttpClient::CallOptions options;
   auto call =
     co_await client_.Start(Address(), std::move(request), aDeadline, options);
   if (!call) {
     ++current_;
-    co_return Unavailable(call.error().text_, RanState::kNo);
+    co_return StoreUnavailable(call.error().text_, RanState::kNo);
   }
-  if (const auto fault = FaultOf(call.value()->Head())) {
-    co_return *fault;
+  if (const auto error = ErrorFromStatus(call.value()->Head())) {
+    co_return *error;
   }
   std::string text;
   while (true) {
     auto piece = co_await call.value()->ReadSome();
     if (!piece) {
-      co_return Unavailable(piece.error().text_, RanState::kNo);
+      co_return StoreUnavailable(piece.error().text_, RanState::kNo);
     }
     if (!piece.value()) {
       co_return aVersion;
@@ -220,7 +226,7 @@
       const json event = json::parse(text.substr(0, end), nullptr, false);
       text.erase(0, end + 1);
       if (event.is_object() && event.contains("object")) {
-        StoreObject object = ObjectOf(event.at("object"));
+        StoreObject object = ToStoreObject(event.at("object"));
         aVersion = object.version_;
         aSink({ .deleted_ = event.value("type", "") == "DELETED",
                 .object_ = std::move(object) });
