--- a/src/rpc/gooseberrylift-json-rpc.cc
+++ b/src/rpc/gooseberrylift-json-rpc.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-std::string TextOf(const Json::Value& aValue)
+std::string SerializeJson(const Json::Value& aValue)
 {
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   return Json::writeString(builder, aValue);
 }
 
-Json::Value ValueOf(const std::string& aText)
+Json::Value ParseJson(const std::string& aText)
 {
   Json::Value value;
   const std::unique_ptr<Json::CharReader> reader(
@@ -28,14 +28,14 @@
   return value;
 }
 
-// The library's client wants to send and receive in one blocking call. Here
-// the request is caught on its way out, and an answer that the asynchronous
-// transport brought is handed back in a second call.
+// The library's client sends and receives in one blocking call, but the
+// transport here is asynchronous. This connector captures the request in a
+// first call and supplies the response, once it has arrived, in a second one.
 class CapturingConnector : public jsonrpc::IClientConnector
 {
 public:
-  explicit CapturingConnector(std::string aAnswer)
-    : answer_(std::move(aAnswer))
+  explicit CapturingConnector(std::string aResponse)
+    : response_(std::move(aResponse))
   {
   }
 
@@ -43,13 +43,13 @@
     jsonrpc::JsonRpcException) override
   {
     sent_ = aMessage;
-    aResult = answer_;
+    aResult = response_;
   }
 
   const std::string& Sent() const { return sent_; }
 
 private:
-  std::string answer_;
+  std::string response_;
   std::string sent_;
 };
 
@@ -70,7 +70,7 @@
                         Json::Value& aOutput) override
   {
     const Method& method = methods_.at(aProcedure.GetProcedureName());
-    aOutput = ValueOf(method(TextOf(aInput)));
+    aOutput = ParseJson(method(SerializeJson(aInput)));
   }
 
   void HandleNotificationCall(jsonrpc::Procedure& /*aProcedure*/,
@@ -98,9 +98,9 @@
 
 std::string JsonRpcServer::Dispatch(const std::string& aRequest)
 {
-  std::string answer;
-  impl_->protocol_->HandleRequest(aRequest, answer);
-  return answer;
+  std::string response;
+  impl_->protocol_->HandleRequest(aRequest, response);
+  return response;
 }
 
 std::string MakeJsonRpcRequest(const std::string& aMethod,
@@ -109,19 +109,20 @@
   CapturingConnector connector("");
   jsonrpc::Client client(connector);
   try {
-    client.CallMethod(aMethod, ValueOf(aParams));
+    client.CallMethod(aMethod, ParseJson(aParams));
   } catch (const jsonrpc::JsonRpcException&) {
-    // There is no answer yet; the request was caught.
+    // Expected, because there is no response yet. The request was captured.
   }
   return connector.Sent();
 }
 
-bool ReadJsonRpcAnswer(const std::string& aAnswer, std::string& aResult)
+bool ParseJsonRpcResponse(const std::string& aResponse, std::string& aResult)
 {
-  CapturingConnector connector(aAnswer);
+  CapturingConnector connector(aResponse);
   jsonrpc::Client client(connector);
   try {
-    aResult = TextOf(client.CallMethod("", Json::Value(Json::objectValue)));
+    aResult =
+      SerializeJson(client.CallMethod("", Json::Value(Json::objectValue)));
     return true;
   } catch (const jsonrpc::JsonRpcException&) {
     return false;
