--- a/include/gooseberrylift/gooseberrylift-job.h
+++ b/include/gooseberrylift/gooseberrylift-job.h
@@ -60,14 +60,14 @@
   /// Returns whether a host may claim the job: it is queued, or its holder's
   /// lease has expired. If the former holder was only paused, its conditional
   /// update fails and its work is discarded.
-  bool Claimable(WallTime aNow) const;
+  bool IsClaimable(WallTime aNow) const;
 };
 
 // Local cache of all jobs, filled by a list and a watch of the store. Selects
 // the team with the fewest jobs running on this host, so that a team with a
 // thousand jobs does not delay a team with one, and a random job of that team,
 // so that hosts rarely compete for the same job.
-class JobBook
+class JobCache
 {
 public:
   struct Options
@@ -75,10 +75,10 @@
     std::size_t maxQueuedPerTeam_ = 1000;
   };
 
-  explicit JobBook(Options aOptions);
+  explicit JobCache(Options aOptions);
 
   void Clear() { jobs_.clear(); }
-  void OnJob(const std::string& aId, const JobRecord& aRecord);
+  void OnUpdated(const std::string& aId, const JobRecord& aRecord);
   void OnDeleted(const std::string& aId) { jobs_.erase(aId); }
 
   /// Selects a job to claim.
@@ -96,7 +96,7 @@
   std::vector<std::string> Expired(WallTime aNow) const;
 
   /// Returns whether a team is below its limit of queued jobs.
-  bool HasRoom(const std::string& aTeam) const;
+  bool CanAddJob(const std::string& aTeam) const;
 
 private:
   struct JobSummary
--- a/include/gooseberrylift/gooseberrylift-once-bucket.h
+++ b/include/gooseberrylift/gooseberrylift-once-bucket.h
@@ -19,9 +19,9 @@
 
 enum class OnceState
 {
-  kIntent, // only the owner may ever dispatch the call
-  kDone,   // the call ran and its outcome is recorded
-  kLost    // dispatched, but its outcome cannot be determined
+  kIntent,        // only the owner may ever dispatch the call
+  kDone,          // the call ran and its outcome is recorded
+  kOutcomeUnknown // dispatched, but its outcome cannot be determined
 };
 
 // Record of one at-most-once call, stored under the digest of its key.
@@ -30,8 +30,8 @@
   std::string digest_; // of the request; detects reuse of the key
   std::string nonce_;  // of the attempt that owns the record
   OnceState state_ = OnceState::kIntent;
-  WallTime until_{};   // end of an intent's lease; else when the call ended
-  std::string result_; // encoded by the runtime; empty if not retained
+  WallTime leaseUntil_{}; // end of an intent's lease; else when the call ended
+  std::string result_;    // encoded by the runtime; empty if not retained
 };
 
 // Intent that an attempt records before it dispatches its call.
@@ -40,24 +40,24 @@
   std::string key_; // digest of team, service and the caller's key
   std::string digest_;
   std::string nonce_;
-  WallTime until_{}; // end of the lease
+  WallTime leaseUntil_{}; // end of the lease
 };
 
-enum class OnceVerdict
+enum class OnceBeginStatus
 {
   kBegun,         // the intent is recorded for this attempt
   kReplay,        // the call ran; its result is returned
   kResultDropped, // the call ran; its result is no longer retained
   kPending,       // another attempt holds an intent with a valid lease
   kUnknown,       // another attempt may have run; its outcome is unavailable
-  kOtherRequest,  // the key was already used for a different request
-  kFull           // the bucket has no space for another record
+  kKeyReused,     // the key was already used for a different request
+  kBucketFull     // the bucket has no space for another record
 };
 
 // Result of OnceBucket::Begin.
-struct OnceDecision
+struct OnceBeginResult
 {
-  OnceVerdict verdict_ = OnceVerdict::kUnknown;
+  OnceBeginStatus beginStatus_ = OnceBeginStatus::kUnknown;
   std::string result_{};
   bool changed_ = false; // takes effect only once the bucket is written
 };
@@ -72,7 +72,9 @@
 public:
   struct Options
   {
-    std::chrono::seconds retention_{ 86'400 }; // counted from a record's until_
+    std::chrono::seconds retention_{
+      86'400
+    };                                  // counted from a record's leaseUntil_
     std::size_t maxBytes_ = 768 * 1024; // the store's limit is 1 MB per object
   };
 
@@ -85,10 +87,10 @@
   nlohmann::json Spec() const;
 
   /// Records an attempt's intent, or returns why the key is unavailable.
-  OnceDecision Begin(const OnceIntent& aIntent, WallTime aNow);
+  OnceBeginResult Begin(const OnceIntent& aIntent, WallTime aNow);
 
   /// Records the outcome of an attempt that owns an intent.
-  /// @param aState kDone or kLost
+  /// @param aState kDone or kOutcomeUnknown
   /// @return whether the record changed; false if the attempt owns no intent
   bool Finish(const std::string& aKey,
               const std::string& aNonce,
--- a/include/gooseberrylift/gooseberrylift-once-committer.h
+++ b/include/gooseberrylift/gooseberrylift-once-committer.h
@@ -35,18 +35,18 @@
   OnceState state_ = OnceState::kDone; // of kFinish
   std::string result_{};               // of kFinish
   TimePoint deadline_{};               // latest time for the reply
-  TimePoint writeAt_{}; // until then, written only along with others
+  TimePoint flushAt_{}; // until then, written only along with others
 };
 
 // Reply to a submitted operation.
 struct OnceReply
 {
   std::uint64_t id_ = 0;
-  bool committed_ = false;  // false: the store did not confirm it in time
-  OnceDecision decision_{}; // of kBegin
+  bool committed_ = false;        // false: the store did not confirm it in time
+  OnceBeginResult beginResult_{}; // of kBegin
 };
 
-enum class OnceIoKind
+enum class OnceStoreCallKind
 {
   kRead,
   kCreate,
@@ -54,19 +54,19 @@
 };
 
 // Store call that the runtime makes on behalf of the committer.
-struct OnceIo
+struct OnceStoreCall
 {
-  OnceIoKind kind_ = OnceIoKind::kRead;
+  OnceStoreCallKind kind_ = OnceStoreCallKind::kRead;
   std::string version_{}; // expected version, of kUpdate
   nlohmann::json spec_{};
 };
 
 // State machine without I/O. The runtime submits operations, makes the calls
-// that NextIo returns, one at a time, reports the result of each, and delivers
-// the replies:
+// that NextStoreCall returns, one at a time, reports the result of each, and
+// delivers the replies:
 //
 //   committer.Submit(op);
-//   while (auto call = committer.NextIo(now, wall)) { ... On...(); }
+//   while (auto call = committer.NextStoreCall(now, wall)) { ... On...(); }
 //   for (auto& reply : committer.TakeReplies()) { ... }
 class OnceCommitter
 {
@@ -89,14 +89,14 @@
 
   /// Returns the next store call to make.
   /// @return nothing while a call is in progress, when no operation is due, or
-  /// before WakeAt()
-  std::optional<OnceIo> NextIo(TimePoint aNow, WallTime aWall);
+  /// before NextWakeTime()
+  std::optional<OnceStoreCall> NextStoreCall(TimePoint aNow, WallTime aWall);
 
   /// The read returned the object.
   void OnRead(const std::string& aVersion, const nlohmann::json& aSpec);
 
   /// The read found that the object does not exist.
-  void OnAbsent();
+  void OnNotFound();
 
   /// The write succeeded.
   void OnWritten(const std::string& aVersion, TimePoint aNow);
@@ -115,9 +115,9 @@
   /// Returns and clears the replies that have become available.
   std::vector<OnceReply> TakeReplies();
 
-  /// Returns when to call NextIo again if it returned nothing while operations
-  /// are queued.
-  std::optional<TimePoint> WakeAt() const;
+  /// Returns when to call NextStoreCall again if it returned nothing while
+  /// operations are queued.
+  std::optional<TimePoint> NextWakeTime() const;
 
   /// Returns whether any operation is queued or in progress.
   bool HasPendingWork() const { return !queue_.empty() || inFlight_; }
@@ -129,7 +129,7 @@
     int failedCalls_ = 0;
     bool refused_ = false; // refusal was sent; a written intent is released
     bool maybeWritten_ = false; // a failed write may have included it
-    OnceDecision decision_{};
+    OnceBeginResult beginResult_{};
   };
 
   bool HasDueOperation(TimePoint aNow) const;
--- a/include/gooseberrylift/internal/gooseberrylift-config-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-follower.h
@@ -66,9 +66,9 @@
   bool ApplyIfNewer(const StoreObject& aObject);
 
   /// The same for a serialized configuration instead of a stored object.
-  bool OfferText(std::uint64_t aGeneration,
-                 const std::string& aText,
-                 ConfigSource aSource);
+  bool ApplyTextIfNewer(std::uint64_t aGeneration,
+                        const std::string& aText,
+                        ConfigSource aSource);
 
 private:
   boost::asio::awaitable<bool> ReadAndWatch();
--- a/include/gooseberrylift/internal/gooseberrylift-encoding.h
+++ b/include/gooseberrylift/internal/gooseberrylift-encoding.h
@@ -19,18 +19,18 @@
 std::optional<std::string> DecodeBase64(std::string_view aText);
 
 /// Compresses a text with zstd and encodes the result as base64.
-std::string PackText(const std::string& aText);
+std::string CompressToBase64(const std::string& aText);
 
-/// Reverses PackText.
+/// Reverses CompressToBase64.
 /// @return nothing if the input is malformed or the text is larger than 256 MB
-std::optional<std::string> UnpackText(const std::string& aText);
+std::optional<std::string> DecompressFromBase64(const std::string& aText);
 
 /// Computes a digest of several parts. Each part is preceded by its length, so
 /// that different lists of parts never yield the same input. The digest is the
 /// first 128 bits of SHA-256: callers choose the parts, and must not be able to
 /// find two requests with the same digest.
 /// @return 16 bytes
-std::string DigestOf(std::initializer_list<std::string_view> aParts);
+std::string ComputeDigest(std::initializer_list<std::string_view> aParts);
 
 // Size of a message authentication code, the first half of an HMAC-SHA256.
 inline constexpr std::size_t kMacBytes = 16;
--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h
@@ -1,8 +1,8 @@
 // Enforces the rate limits that endpoints advertise, which apply to the total
 // of the requests from all hosts.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
 
 #include <chrono>
 #include <functional>
@@ -40,7 +40,7 @@
 // available, the request goes to another endpoint at once, while a permit is
 // requested for later requests. A host that is disconnected from all others
 // grants itself an even share of the rate. Thread-safe.
-class EndpointLimiter
+class EndpointRateLimiter
 {
 public:
   // Sends a permit request to a peer, which answers it with Answer().
@@ -57,7 +57,7 @@
     EndpointRateLimits::IsListed isListed_;
     // Called when an endpoint's response has changed its limit, so that the
     // peers learn of it at once.
-    std::function<void()> tell_;
+    std::function<void()> notifyPeers_;
 
     Call call_;
   };
@@ -71,7 +71,7 @@
     std::chrono::milliseconds requestTimeout_{ 300 };
   };
 
-  EndpointLimiter(Parts aParts, Options aOptions);
+  EndpointRateLimiter(Parts aParts, Options aOptions);
 
   /// Processes the rate limit notice in an endpoint's response.
   /// @param aSent when the corresponding request was sent
@@ -98,7 +98,7 @@
 
   /// Finds the rate-limited endpoints among a request's candidates, and
   /// requests permits for those that this host has none for.
-  LimitedEndpoints Judge(const std::vector<ListedEndpoint>& aCandidates);
+  LimitedEndpoints CheckPermits(const std::vector<ListedEndpoint>& aCandidates);
 
   /// Consumes a permit if the endpoint needs one.
   /// @return false if it needs one and there is none
@@ -147,4 +147,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
--- a/include/gooseberrylift/internal/gooseberrylift-fleet.h
+++ b/include/gooseberrylift/internal/gooseberrylift-fleet.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 #include "gooseberrylift/membership/gooseberrylift-load-message.h"
 #include "gooseberrylift/membership/gooseberrylift-zone-load.h"
@@ -31,7 +31,7 @@
 {
   std::uint64_t id_ = 0; // unique on this host
   std::string service_;
-  std::optional<EngineProfile> figures_; // empty for a plain service
+  std::optional<EngineProfile> engineProfile_; // empty for a plain service
   ServiceGaps gaps_;
   PlacementRequest request_;
   std::set<std::string> tried_; // endpoints that failed this request
@@ -48,7 +48,7 @@
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted
   // The part of firstAnswer_ before prefill starts.
   std::chrono::microseconds wait_{ 0 };
-  bool long_ = false; // its prefill delays requests that are decoding
+  bool slowsDecoding_ = false; // its prefill delays requests that are decoding
   // Predicted to miss its objective; yields to requests that can still meet
   // theirs.
   bool deferred_ = false;
@@ -70,7 +70,7 @@
   {
     std::string host_;
     std::string zone_;
-    EndpointLimiter& limiter_;
+    EndpointRateLimiter& limiter_;
     // Called when an endpoint has restarted under the same id.
     std::function<void(const std::string& aEndpoint)> onRestarted_{};
   };
@@ -94,7 +94,7 @@
 
   /// Consumes a permit if the placement's endpoint has a rate limit.
   /// @return false when no permit is left; the request must be placed again
-  bool Claim(const FleetPlacement& aPlacement);
+  bool TryUsePermit(const FleetPlacement& aPlacement);
 
   /// Returns the time until the service has a permit again; zero or less while
   /// one is being requested.
@@ -107,8 +107,8 @@
   void OnListed(const ListedEndpoint& aListed);
 
   /// Returns whether a service has a usable endpoint that was not tried yet.
-  bool HasOther(const std::string& aService,
-                const std::set<std::string>& aTried);
+  bool HasUntriedEndpoint(const std::string& aService,
+                          const std::set<std::string>& aTried);
 
   /// Returns whether this incarnation of an endpoint is in the directory.
   bool IsListed(const Incarnation& aEndpoint);
@@ -118,13 +118,15 @@
 
   // Counts a request in the load of its endpoint and helpers until End is
   // called or the object is destroyed.
-  class Use
+  class ActiveRequest
   {
   public:
-    Use(Fleet& aFleet, const FleetQuery& aQuery, FleetPlacement aPlacement);
-    ~Use();
-    Use(const Use&) = delete;
-    Use& operator=(const Use&) = delete;
+    ActiveRequest(Fleet& aFleet,
+                  const FleetQuery& aQuery,
+                  FleetPlacement aPlacement);
+    ~ActiveRequest();
+    ActiveRequest(const ActiveRequest&) = delete;
+    ActiveRequest& operator=(const ActiveRequest&) = delete;
 
     const FleetPlacement& Placement() const { return placement_; }
 
@@ -132,11 +134,11 @@
 
     /// Records that the endpoint sent data for this request.
     /// @param aFirst whether the data began the answer
-    void OnHeard(bool aFirst);
+    void OnDataReceived(bool aFirst);
 
     /// Returns how recently the endpoint was active and how busy it is; used to
     /// detect a stall.
-    EndpointActivity Signs() const;
+    EndpointActivity CurrentActivity() const;
 
     /// Records the outcome and removes the request from the load.
     void End(EndpointOutcome aOutcome);
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
@@ -12,18 +12,18 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "gooseberrylift/gooseberrylift-settings.h"
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-fleet.h"
 #include "gooseberrylift/internal/gooseberrylift-gateway-front.h"
-#include "gooseberrylift/internal/gooseberrylift-headline-words.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
 #include "gooseberrylift/internal/gooseberrylift-metrics.h"
 #include "gooseberrylift/internal/gooseberrylift-peer-exchange.h"
 #include "gooseberrylift/internal/gooseberrylift-route-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-settings-watch.h"
 #include "gooseberrylift/internal/gooseberrylift-store-follower.h"
+#include "gooseberrylift/internal/gooseberrylift-store-status-exchange.h"
 #include "gooseberrylift/membership/gooseberrylift-peer-groups.h"
 
 namespace gooseberrylift {
@@ -51,7 +51,7 @@
   void ApplyPeers(const PeersState& aPeers);
   bool IsSeed() const; // other hosts contact seeds first
   std::string AdminAddress() const;
-  EndpointLimiter::Parts LimiterParts();
+  EndpointRateLimiter::Parts LimiterParts();
   StoreFollower::Parts StoreFollowerParts();
   StoreFollower::Options StoreFollowerOptions() const;
   boost::asio::awaitable<void> StartPeers();
@@ -76,21 +76,21 @@
   HttpClient peerClient_;
   std::unique_ptr<ObjectStore> store_;
   std::unique_ptr<WireDialect> dialect_;
-  EndpointLimiter limiter_;
+  EndpointRateLimiter limiter_;
   Fleet fleet_;
   ReaderRank rank_;       // among the live hosts, as last reported
   PeerGroups peerGroups_; // of the other hosts, as last reported
   RouteFollower routes_;
   EndpointFollower endpoints_;
   StoreFollower storeFollower_;
-  SharedRepeatBudget repeats_;
+  SharedRetryBudget retryBudget_;
   // Whether another host that is not draining accepts keys.
   std::atomic<bool> peersHaveProvenKeys_ = false;
   PeerExchange peers_;
-  SuspectWatch suspects_;
+  PoisonRequestMonitor poisonRequestMonitor_;
   PeerDatagrams datagrams_;
-  HeadlineWords statusExchange_;
-  LoadWords loadExchange_;
+  StoreStatusExchange statusExchange_;
+  LoadExchange loadExchange_;
   SettingsWatch settingsWatch_;
   GatewayFront front_;
   HttpServer callerServer_;
--- a/include/gooseberrylift/internal/gooseberrylift-job-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-runner.h
@@ -27,7 +27,7 @@
   struct Options
   {
     std::size_t maxRunning_ = 16; // concurrent jobs on this host
-    std::chrono::milliseconds lease_{ 15'000 };
+    std::chrono::milliseconds leaseDuration_{ 15'000 };
     int maxClaims_ = 8;   // claims of one job before it fails
     int maxFailures_ = 2; // failed generations, each tried on several engines
     std::chrono::milliseconds pollInterval_{ 50 };
@@ -50,7 +50,7 @@
   void Start();
 
   /// Returns whether the team is below its limit of jobs.
-  bool HasRoom(const std::string& aTeam) const;
+  bool CanAddJob(const std::string& aTeam) const;
 
 private:
   struct Claim;
@@ -81,8 +81,8 @@
   Blackboard& board_;
   boost::asio::any_io_executor executor_;
   Options options_;
-  mutable std::mutex mutex_; // guards book_ and running_
-  JobBook book_;
+  mutable std::mutex mutex_; // guards jobCache_ and running_
+  JobCache jobCache_;
   std::map<std::string, std::string> running_; // team by job
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-load-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-load-exchange.h
@@ -1,7 +1,7 @@
 // Sends this host's load to other hosts in datagrams, and receives theirs.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
 
 #include <cstdint>
 #include <functional>
@@ -28,7 +28,7 @@
 // host of each zone sends the zone's total load to the other zones
 // (ZoneLoadAggregator). Must be used on one executor only, including the calls
 // of its owner.
-class LoadWords
+class LoadExchange
 {
 public:
   struct Parts
@@ -40,10 +40,10 @@
     // Returns this host's load on the given endpoints.
     std::function<std::vector<EndpointShare>(
       const std::vector<ListedEndpoint>& aEndpoints)>
-      ownAt_;
+      ownSharesAt_;
     // Returns the total load of the hosts of this zone by endpoint.
-    std::function<std::vector<EndpointShare>()> zoneSums_;
-    std::function<void(const LoadMessage& aMessage)> take_; // from a peer
+    std::function<std::vector<EndpointShare>()> zoneTotals_;
+    std::function<void(const LoadMessage& aMessage)> onReceived_; // from a peer
   };
 
   struct Options
@@ -63,7 +63,7 @@
     std::chrono::milliseconds minTotalsInterval_{ 100 };
   };
 
-  LoadWords(Parts aParts, Options aOptions);
+  LoadExchange(Parts aParts, Options aOptions);
 
   /// Starts to repeat snapshots, which make up for lost datagrams.
   void Start();
@@ -74,10 +74,11 @@
   /// Records that this host has placed a request.
   /// @param aUrgent whether to report it despite the rate limit: a long prompt,
   /// for which other hosts would otherwise choose the same idle endpoints
-  void OnPlaced(const std::vector<ListedEndpoint>& aEndpoints, bool aUrgent);
+  void OnRequestPlaced(const std::vector<ListedEndpoint>& aEndpoints,
+                       bool aUrgent);
 
   /// Records that a request has ended.
-  void OnEnded() { ScheduleSnapshot(); }
+  void OnRequestEnded() { ScheduleSnapshot(); }
 
 private:
   boost::asio::awaitable<void> SendSnapshotAt(TimePoint aWhen);
@@ -114,4 +115,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
--- a/include/gooseberrylift/internal/gooseberrylift-model-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-runner.h
@@ -52,7 +52,7 @@
   /// Called when no further token has been received yet, so that a sink that
   /// buffers tokens can send them.
   /// @return false to end the generation, because nobody reads on
-  virtual boost::asio::awaitable<bool> OnPause() { co_return true; }
+  virtual boost::asio::awaitable<bool> Flush() { co_return true; }
 };
 
 struct GenerationResult
--- a/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
@@ -47,7 +47,7 @@
     // Returns this host's digest, except its names and sequence number.
     std::function<Digest()> own_;
     // Receives the latest digests of the other hosts.
-    std::function<void(const PeersState& aPeers)> publish_;
+    std::function<void(const PeersState& aPeers)> onPeersChanged_;
     // Return the configuration in force and receive a newer one from a peer.
     // Empty when hosts get configurations in another way.
     std::function<OfferedConfiguration()> configuration_{};
@@ -94,11 +94,11 @@
 
   /// Announces a new configuration to peers with an older one at once, without
   /// waiting for the next round.
-  void TellNews();
+  void AnnounceConfiguration();
 
   /// Exchanges with peers in scope at once, for changes that can't wait for the
   /// next round.
-  void TellNear();
+  void ExchangeInScope();
 
   /// Registers a method that peers may call. Must be called before Start.
   void AddMethod(const std::string& aName, PeerRpc::Method aMethod)
--- a/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
@@ -66,7 +66,7 @@
   }
 
   /// Returns whether an HTTP request is a call from a peer.
-  static bool IsCall(const HttpRequest& aRequest);
+  static bool IsRpcRequest(const HttpRequest& aRequest);
 
   /// Calls a method on a peer.
   /// @return the result, or an error with kPeerUnreachable or kPeerRefused
--- a/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
+++ b/include/gooseberrylift/internal/gooseberrylift-poison-request-monitor.h
@@ -1,8 +1,8 @@
 // Detects poison requests, which crash the endpoints that run them. After a
 // lost connection, checks whether the endpoint has exited or is still running.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
 
 #include <functional>
 #include <mutex>
@@ -20,7 +20,7 @@
 namespace gooseberrylift {
 
 // Thread-safe. Must outlive the tasks that it spawns on its executor.
-class SuspectWatch
+class PoisonRequestMonitor
 {
 public:
   struct Parts
@@ -29,10 +29,10 @@
     boost::asio::any_io_executor executor_;
     // Called when a request has been quarantined, so that the peers learn of it
     // at once.
-    std::function<void()> tell_;
+    std::function<void()> notifyPeers_;
   };
 
-  explicit SuspectWatch(Parts aParts);
+  explicit PoisonRequestMonitor(Parts aParts);
 
   /// Records that the connection to an endpoint broke while it ran a request,
   /// and checks shortly afterwards whether the endpoint still listens.
@@ -64,4 +64,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -13,14 +13,14 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "gooseberrylift/gooseberrylift-attempt-errors.h"
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-fleet.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
-#include "gooseberrylift/internal/gooseberrylift-memory-holds.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
+#include "gooseberrylift/internal/gooseberrylift-memory-reservation.h"
+#include "gooseberrylift/internal/gooseberrylift-poison-request-monitor.h"
 #include "gooseberrylift/internal/gooseberrylift-route-follower.h"
-#include "gooseberrylift/internal/gooseberrylift-suspect-watch.h"
 #include "gooseberrylift/internal/gooseberrylift-wire-dialect.h"
 #include "gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h"
 #include "gooseberrylift/limits/gooseberrylift-long-prompt-hold.h"
@@ -29,7 +29,7 @@
 namespace gooseberrylift {
 
 // The retry budget of this host, shared by all of its requests.
-struct SharedRepeatBudget
+struct SharedRetryBudget
 {
   std::mutex mutex_; // guards the members below
   FleetRetryBudget budget_{ FleetRetryBudget::Options{} };
@@ -70,11 +70,11 @@
     const WireDialect& dialect_;
     Fleet& fleet_;
     RouteFollower& routes_;
-    SharedRepeatBudget& repeats_;
-    SuspectWatch& suspects_;
-    EndpointLimiter& limiter_;
+    SharedRetryBudget& retryBudget_;
+    PoisonRequestMonitor& poisonRequestMonitor_;
+    EndpointRateLimiter& limiter_;
     boost::asio::any_io_executor executor_;
-    LoadWords& words_; // sends load messages to the other hosts
+    LoadExchange& words_; // sends load messages to the other hosts
   };
 
   RequestRun(Parts aParts, HttpExchange& aExchange, RoutedRequest aRequest);
@@ -122,21 +122,25 @@
   boost::asio::awaitable<Outcome<std::unique_ptr<MemoryReservation>>>
   ReserveMemory(const FleetPlacement& aPlacement);
   boost::asio::awaitable<Outcome<void>> Attempt(FleetPlacement aPlacement);
-  boost::asio::awaitable<Outcome<void>> ReadHead(HttpCall& aCall,
-                                                 Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> ReadHead(
+    HttpCall& aCall,
+    Fleet::ActiveRequest& aActiveRequest);
   boost::asio::awaitable<Outcome<std::optional<std::string>>> ReadChunk(
     HttpCall& aCall,
-    const Fleet::Use& aUse);
+    const Fleet::ActiveRequest& aActiveRequest);
   std::optional<Error> ValidateHead(const HttpResponse& aHead,
-                                    const Fleet::Use& aUse);
-  void RecordRateLimit(const EndpointFacts& aFacts, const Fleet::Use& aUse);
-  boost::asio::awaitable<Outcome<void>> ForwardBuffered(HttpCall& aCall,
-                                                        const Fleet::Use& aUse);
+                                    const Fleet::ActiveRequest& aActiveRequest);
+  void RecordRateLimit(const EndpointFacts& aFacts,
+                       const Fleet::ActiveRequest& aActiveRequest);
+  boost::asio::awaitable<Outcome<void>> ForwardBuffered(
+    HttpCall& aCall,
+    const Fleet::ActiveRequest& aActiveRequest);
   boost::asio::awaitable<Outcome<void>> ForwardUnbuffered(
     HttpCall& aCall,
     std::string aBuffered);
-  boost::asio::awaitable<Outcome<void>> ForwardStream(HttpCall& aCall,
-                                                      Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> ForwardStream(
+    HttpCall& aCall,
+    Fleet::ActiveRequest& aActiveRequest);
   Outcome<std::string> ParseEvents(EventSplitter& aSplitter);
   boost::asio::awaitable<Outcome<void>> WriteEvents(const HttpResponse& aHead,
                                                     std::string aEvents);
@@ -149,7 +153,7 @@
   bool MayRetryElsewhere() const;
   TimePoint StallDeadline() const;
   TimePoint NextStallCheck() const;
-  bool TryAbandonStalled(const Fleet::Use& aUse);
+  bool TryAbandonStalled(const Fleet::ActiveRequest& aActiveRequest);
   bool IsStallTimeout(const Error& aError) const;
   bool TryConsumeRetryBudget();
   void EnsureRetryDelay(Error aError);
--- a/include/gooseberrylift/internal/gooseberrylift-route-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-route-follower.h
@@ -34,7 +34,7 @@
 
   /// Returns whether callers' keys may be accepted now; always true unless
   /// strict revocation is configured.
-  bool KeysAreProven();
+  bool AreKeysProven();
 
   /// Returns the age of the last proof, or nothing if there is none.
   std::optional<std::chrono::milliseconds> ProofAge();
--- a/include/gooseberrylift/internal/gooseberrylift-service-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-service-runner.h
@@ -23,7 +23,7 @@
   std::string pool_;
   RequestInfo info_;
   HttpRequest request_; // as sent to the endpoint
-  bool repeatable_ = false;
+  bool retryable_ = false;
   // Called directly before each attempt; false ends the call as not executed.
   std::function<bool()> mayDispatch_{};
 };
--- a/include/gooseberrylift/internal/gooseberrylift-headline-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store-status-exchange.h
@@ -1,7 +1,7 @@
 // Exchanges with other hosts how much of the store's state each of them has.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -24,7 +24,7 @@
 // responds to the requests of others. Uses datagrams, because a call needs a
 // connection and HTTP on both sides, and the next request makes up for a lost
 // one. Must be used on one executor only.
-class HeadlineWords
+class StoreStatusExchange
 {
 public:
   struct Parts
@@ -32,14 +32,14 @@
     boost::asio::any_io_executor executor_;
     PeerDatagrams& datagrams_;
     // Chooses the hosts to send the next request to.
-    std::function<std::vector<PeerMember>()> draw_;
+    std::function<std::vector<PeerMember>()> samplePeers_;
     std::function<StoreStatus()> own_;
     // Receives the status of another host. aSentAt is set if the status came in
     // a response, to the time at which the request was sent.
     std::function<void(const PeerMember& aPeer,
                        const StoreStatus& aStatus,
                        std::optional<BootTime> aSentAt)>
-      take_;
+      onReceived_;
   };
 
   struct Options
@@ -51,13 +51,13 @@
     std::chrono::milliseconds responseTimeout_{ 1'000 };
   };
 
-  HeadlineWords(Parts aParts, Options aOptions);
+  StoreStatusExchange(Parts aParts, Options aOptions);
 
   /// Starts to send requests.
   void Start();
 
   /// Sends a request at once, because a change should reach other hosts soon.
-  void AskNow() { SendRequests(); }
+  void SendRequestNow() { SendRequests(); }
 
 private:
   void SendRequests();
@@ -75,4 +75,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
--- a/include/gooseberrylift/internal/gooseberrylift-store.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store.h
@@ -58,7 +58,7 @@
   /// cheaper for the store. Meant for objects that never change. An object that
   /// was just created may not be found.
   virtual boost::asio::awaitable<Outcome<StoreObject>>
-  ReadAnyAge(std::string aKind, std::string aName, TimePoint aDeadline)
+  ReadAllowStale(std::string aKind, std::string aName, TimePoint aDeadline)
   {
     co_return co_await Read(std::move(aKind), std::move(aName), aDeadline);
   }
@@ -70,7 +70,7 @@
 
   /// Reads all objects of a kind, allowing a result that is a few seconds stale
   /// if that is cheaper for the store. The store may hold later updates.
-  virtual boost::asio::awaitable<Outcome<StoreList>> ListAnyAge(
+  virtual boost::asio::awaitable<Outcome<StoreList>> ListAllowStale(
     std::string aKind,
     TimePoint aDeadline)
   {
--- a/src/clients/gooseberrylift-load-words.cc
+++ b/src/clients/gooseberrylift-load-exchange.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
 
 #include <algorithm>
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-LoadWords::LoadWords(Parts aParts, Options aOptions)
+LoadExchange::LoadExchange(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , pacer_(options_.pacerOptions_)
@@ -57,14 +57,15 @@
     });
 }
 
-void LoadWords::Start()
+void LoadExchange::Start()
 {
   repeatTimer_ = TimerService::Every(
     kRepeatCheckInterval, parts_.executor_, [this] { RepeatSnapshot(); });
 }
 
-void LoadWords::OnPlaced(const std::vector<ListedEndpoint>& aEndpoints,
-                         bool aUrgent)
+void LoadExchange::OnRequestPlaced(
+  const std::vector<ListedEndpoint>& aEndpoints,
+  bool aUrgent)
 {
   if (!parts_.datagrams_.IsOpen()) {
     return;
@@ -79,7 +80,7 @@
   Send({ .host_ = options_.host_,
          .sequence_ = ++sequence_,
          .kind_ = LoadMessageKind::kDelta,
-         .shares_ = parts_.ownAt_(aEndpoints) },
+         .shares_ = parts_.ownSharesAt_(aEndpoints) },
        near_);
   lastMessageHadLoad_ = true;
   if (aUrgent) {
@@ -87,7 +88,7 @@
   }
 }
 
-void LoadWords::ScheduleSnapshot()
+void LoadExchange::ScheduleSnapshot()
 {
   if (!parts_.datagrams_.IsOpen() || snapshotScheduled_) {
     return;
@@ -98,14 +99,14 @@
   SpawnTask(parts_.executor_, SendSnapshotAt(due));
 }
 
-asio::awaitable<void> LoadWords::SendSnapshotAt(TimePoint aWhen)
+asio::awaitable<void> LoadExchange::SendSnapshotAt(TimePoint aWhen)
 {
   co_await TimerService::SleepUntil(aWhen);
   snapshotScheduled_ = false;
   SendSnapshot();
 }
 
-void LoadWords::RepeatSnapshot()
+void LoadExchange::RepeatSnapshot()
 {
   if (lastMessageHadLoad_ &&
       pacer_.IsRepeatDue(TimerService::Now(), near_.size())) {
@@ -113,7 +114,7 @@
   }
 }
 
-void LoadWords::SendSnapshot()
+void LoadExchange::SendSnapshot()
 {
   if (!parts_.datagrams_.IsOpen()) {
     return;
@@ -126,15 +127,15 @@
   pacer_.OnSnapshotSent(TimerService::Now());
 }
 
-void LoadWords::Send(const LoadMessage& aMessage,
-                     const std::vector<PeerAddress>& aTo)
+void LoadExchange::Send(const LoadMessage& aMessage,
+                        const std::vector<PeerAddress>& aTo)
 {
   for (const std::string& datagram : EncodeLoadMessage(aMessage)) {
     parts_.datagrams_.Send(PeerTopic::kLoad, datagram, aTo);
   }
 }
 
-void LoadWords::SetPeers(const LoadMessagePeers& aPeers)
+void LoadExchange::SetPeers(const LoadMessagePeers& aPeers)
 {
   near_ = ParsePeerAddresses(aPeers.near_);
   successors_ = ParsePeerAddresses(aPeers.successors_);
@@ -153,7 +154,7 @@
   }
 }
 
-void LoadWords::SendTotals()
+void LoadExchange::SendTotals()
 {
   const TimePoint now = TimerService::Now();
   const bool isAggregator = parts_.datagrams_.IsOpen() && !far_.empty() &&
@@ -161,7 +162,7 @@
   if (isAggregator != isAggregator_) {
     isAggregator_ = isAggregator;
     zoneAggregator_.Restart();
-    Log(LogEvent::kZoneSummed,
+    Log(LogEvent::kZoneAggregatorChanged,
         { { "sums", isAggregator },
           { "zone", options_.zone_ },
           { "rank", rank_ } });
@@ -170,7 +171,7 @@
     return;
   }
   lastTotals_ = now;
-  const auto message = zoneAggregator_.NextMessage(parts_.zoneSums_(), now);
+  const auto message = zoneAggregator_.NextMessage(parts_.zoneTotals_(), now);
   if (!message) {
     return;
   }
@@ -191,7 +192,7 @@
   } while (begin != message->shares_.end());
 }
 
-void LoadWords::SendTotalsIfAllowed()
+void LoadExchange::SendTotalsIfAllowed()
 {
   if (isAggregator_ &&
       TimerService::Now() - lastTotals_ >= options_.minTotalsInterval_) {
@@ -199,8 +200,8 @@
   }
 }
 
-void LoadWords::SendToOtherZones(LoadMessageKind aKind,
-                                 std::vector<EndpointShare> aShares)
+void LoadExchange::SendToOtherZones(LoadMessageKind aKind,
+                                    std::vector<EndpointShare> aShares)
 {
   LoadMessage message{ .host_ = options_.host_,
                        .sequence_ = ++sequence_,
@@ -214,19 +215,19 @@
   }
 }
 
-void LoadWords::RelayToZone(LoadMessage aMessage)
+void LoadExchange::RelayToZone(LoadMessage aMessage)
 {
   aMessage.relayToZone_ = false;
   Send(aMessage, near_);
 }
 
-void LoadWords::HandleDatagram(std::string_view aBytes)
+void LoadExchange::HandleDatagram(std::string_view aBytes)
 {
   const auto message = DecodeLoadMessage(aBytes);
   if (!message) {
     return;
   }
-  parts_.take_(*message);
+  parts_.onReceived_(*message);
   if (message->zone_ == options_.zone_) {
     aggregatorRole_.OnAggregateReceived(TimerService::Now());
   } else if (message->relayToZone_) {
--- a/src/clients/gooseberrylift-headline-words.cc
+++ b/src/clients/gooseberrylift-store-status-exchange.cc
@@ -1,10 +1,10 @@
-#include "gooseberrylift/internal/gooseberrylift-headline-words.h"
+#include "gooseberrylift/internal/gooseberrylift-store-status-exchange.h"
 
 #include <utility>
 
 namespace gooseberrylift {
 
-HeadlineWords::HeadlineWords(Parts aParts, Options aOptions)
+StoreStatusExchange::StoreStatusExchange(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , random_(std::random_device{}())
@@ -16,7 +16,7 @@
     });
 }
 
-void HeadlineWords::Start()
+void StoreStatusExchange::Start()
 {
   timer_ = TimerService::Every(
     options_.interval_, parts_.executor_, [this] { SendRequests(); });
@@ -24,10 +24,10 @@
 
 // Each request has a random identifier, so that a recorded response cannot be
 // replayed as the response to a later request.
-void HeadlineWords::SendRequests()
+void StoreStatusExchange::SendRequests()
 {
   DiscardExpiredRequests();
-  const std::vector<PeerMember> peers = parts_.draw_();
+  const std::vector<PeerMember> peers = parts_.samplePeers_();
   if (peers.empty()) {
     return;
   }
@@ -45,7 +45,7 @@
                          ParsePeerAddresses(addresses));
 }
 
-void HeadlineWords::DiscardExpiredRequests()
+void StoreStatusExchange::DiscardExpiredRequests()
 {
   const BootTime now = TimerService::BootNow();
   std::erase_if(sentAt_, [&](const auto& aRequest) {
@@ -53,8 +53,8 @@
   });
 }
 
-void HeadlineWords::HandleDatagram(std::string_view aBytes,
-                                   const PeerAddress& aFrom)
+void StoreStatusExchange::HandleDatagram(std::string_view aBytes,
+                                         const PeerAddress& aFrom)
 {
   const auto message = DecodeStoreStatusMessage(aBytes);
   if (!message) {
@@ -74,15 +74,15 @@
                                      .storeStatus_ = parts_.own_() };
   parts_.datagrams_.Send(
     PeerTopic::kStore, EncodeStoreStatusMessage(response), { aFrom });
-  parts_.take_(peer, message->storeStatus_, std::nullopt);
+  parts_.onReceived_(peer, message->storeStatus_, std::nullopt);
 }
 
-void HeadlineWords::HandleResponse(const StoreStatusMessage& aMessage,
-                                   const PeerMember& aPeer)
+void StoreStatusExchange::HandleResponse(const StoreStatusMessage& aMessage,
+                                         const PeerMember& aPeer)
 {
   const auto request = sentAt_.find(aMessage.requestId_);
   if (request != sentAt_.end()) {
-    parts_.take_(aPeer, aMessage.storeStatus_, request->second);
+    parts_.onReceived_(aPeer, aMessage.storeStatus_, request->second);
   }
 }
 
--- a/src/core/gooseberrylift-once-bucket.cc
+++ b/src/core/gooseberrylift-once-bucket.cc
@@ -31,7 +31,7 @@
 {
   json body = { { "d", aRecord.digest_ },
                 { "s", static_cast<int>(aRecord.state_) },
-                { "u", ToMilliseconds(aRecord.until_) } };
+                { "u", ToMilliseconds(aRecord.leaseUntil_) } };
   if (!aRecord.nonce_.empty()) {
     body["n"] = aRecord.nonce_;
   }
@@ -41,37 +41,41 @@
   return body;
 }
 
-// A record with a missing or invalid state becomes kLost, since its call may
-// have run.
+// A record with a missing or invalid state becomes kOutcomeUnknown, since its
+// call may have run.
 OnceRecord ParseRecord(const json& aBody)
 {
-  const int state = aBody.value("s", static_cast<int>(OnceState::kLost));
+  const int state =
+    aBody.value("s", static_cast<int>(OnceState::kOutcomeUnknown));
   return { .digest_ = aBody.value("d", ""),
            .nonce_ = aBody.value("n", ""),
-           .state_ = state >= 0 && state <= static_cast<int>(OnceState::kLost)
-                       ? static_cast<OnceState>(state)
-                       : OnceState::kLost,
-           .until_ = WallTime(
+           .state_ =
+             state >= 0 && state <= static_cast<int>(OnceState::kOutcomeUnknown)
+               ? static_cast<OnceState>(state)
+               : OnceState::kOutcomeUnknown,
+           .leaseUntil_ = WallTime(
              std::chrono::milliseconds(aBody.value("u", std::int64_t{ 0 }))),
            .result_ = aBody.value("r", "") };
 }
 
-OnceDecision ResolveExistingRecord(const OnceRecord& aRecord, WallTime aNow)
+OnceBeginResult ResolveExistingRecord(const OnceRecord& aRecord, WallTime aNow)
 {
   switch (aRecord.state_) {
     case OnceState::kDone:
-      return { .verdict_ = aRecord.result_.empty() ? OnceVerdict::kResultDropped
-                                                   : OnceVerdict::kReplay,
+      return { .beginStatus_ = aRecord.result_.empty()
+                                 ? OnceBeginStatus::kResultDropped
+                                 : OnceBeginStatus::kReplay,
                .result_ = aRecord.result_ };
     case OnceState::kIntent:
       // The owner may have crashed after dispatching the call, so an intent
       // with an expired lease is reported as unknown and never reassigned.
-      return { .verdict_ = aNow < aRecord.until_ ? OnceVerdict::kPending
-                                                 : OnceVerdict::kUnknown };
-    case OnceState::kLost:
+      return { .beginStatus_ = aNow < aRecord.leaseUntil_
+                                 ? OnceBeginStatus::kPending
+                                 : OnceBeginStatus::kUnknown };
+    case OnceState::kOutcomeUnknown:
       break;
   }
-  return { .verdict_ = OnceVerdict::kUnknown };
+  return { .beginStatus_ = OnceBeginStatus::kUnknown };
 }
 
 } // namespace
@@ -102,23 +106,23 @@
   return spec;
 }
 
-OnceDecision OnceBucket::Begin(const OnceIntent& aIntent, WallTime aNow)
+OnceBeginResult OnceBucket::Begin(const OnceIntent& aIntent, WallTime aNow)
 {
   const auto found = records_.find(aIntent.key_);
   if (found != records_.end()) {
     if (found->second.nonce_ == aIntent.nonce_ &&
         found->second.state_ == OnceState::kIntent) {
       // An earlier write of this intent succeeded but its response was lost.
-      return { .verdict_ = OnceVerdict::kBegun };
+      return { .beginStatus_ = OnceBeginStatus::kBegun };
     }
     if (found->second.digest_ != aIntent.digest_) {
-      return { .verdict_ = OnceVerdict::kOtherRequest };
+      return { .beginStatus_ = OnceBeginStatus::kKeyReused };
     }
     return ResolveExistingRecord(found->second, aNow);
   }
   OnceRecord record{ .digest_ = aIntent.digest_,
                      .nonce_ = aIntent.nonce_,
-                     .until_ = aIntent.until_ };
+                     .leaseUntil_ = aIntent.leaseUntil_ };
   // Only results are evicted to make space. Removing a record before the end of
   // its retention period would let a repeated call run twice.
   while (bytes_ + RecordSizeInBytes(aIntent.key_, record) >
@@ -126,11 +130,11 @@
     const std::size_t before = bytes_;
     DropOldestResult();
     if (bytes_ == before) {
-      return { .verdict_ = OnceVerdict::kFull };
+      return { .beginStatus_ = OnceBeginStatus::kBucketFull };
     }
   }
   InsertOrReplace(aIntent.key_, std::move(record));
-  return { .verdict_ = OnceVerdict::kBegun, .changed_ = true };
+  return { .beginStatus_ = OnceBeginStatus::kBegun, .changed_ = true };
 }
 
 bool OnceBucket::Finish(const std::string& aKey,
@@ -149,7 +153,7 @@
   }
   record.state_ = aState;
   record.nonce_.clear(); // a finished record has no owner
-  record.until_ = aNow;
+  record.leaseUntil_ = aNow;
   record.result_ = std::move(aResult);
   InsertOrReplace(aKey, std::move(record));
   while (bytes_ > options_.maxBytes_) {
@@ -177,7 +181,7 @@
 {
   const std::size_t before = records_.size();
   for (auto at = records_.begin(); at != records_.end();) {
-    const bool expired = at->second.until_ + options_.retention_ <= aNow;
+    const bool expired = at->second.leaseUntil_ + options_.retention_ <= aNow;
     at = expired ? Erase(at) : std::next(at);
   }
   return records_.size() != before;
@@ -211,7 +215,7 @@
   for (auto at = records_.begin(); at != records_.end(); ++at) {
     if (!at->second.result_.empty() &&
         (oldest == records_.end() ||
-         at->second.until_ < oldest->second.until_)) {
+         at->second.leaseUntil_ < oldest->second.leaseUntil_)) {
       oldest = at;
     }
   }
--- a/src/core/gooseberrylift-once-committer.cc
+++ b/src/core/gooseberrylift-once-committer.cc
@@ -10,10 +10,10 @@
 
 // A completed call never changes state, so a stale copy of the bucket suffices
 // to report it.
-bool IsFinal(OnceVerdict aVerdict)
+bool IsFinal(OnceBeginStatus aVerdict)
 {
-  return aVerdict == OnceVerdict::kReplay ||
-         aVerdict == OnceVerdict::kResultDropped;
+  return aVerdict == OnceBeginStatus::kReplay ||
+         aVerdict == OnceBeginStatus::kResultDropped;
 }
 
 } // namespace
@@ -32,7 +32,8 @@
   return lastId_;
 }
 
-std::optional<OnceIo> OnceCommitter::NextIo(TimePoint aNow, WallTime aWall)
+std::optional<OnceStoreCall> OnceCommitter::NextStoreCall(TimePoint aNow,
+                                                          WallTime aWall)
 {
   OnTick(aNow);
   if (inFlight_ || aNow < retryAt_) {
@@ -42,10 +43,11 @@
     const bool changed = bucketLoaded_ && FillBatch(aWall);
     if (changed) {
       inFlight_ = true;
-      return OnceIo{ .kind_ = version_.empty() ? OnceIoKind::kCreate
-                                               : OnceIoKind::kUpdate,
-                     .version_ = version_,
-                     .spec_ = stagedBucket_.Spec() };
+      return OnceStoreCall{ .kind_ = version_.empty()
+                                       ? OnceStoreCallKind::kCreate
+                                       : OnceStoreCallKind::kUpdate,
+                            .version_ = version_,
+                            .spec_ = stagedBucket_.Spec() };
     }
     // Nothing to write. The results are valid if the bucket was read after
     // the operations were submitted; an older copy may still hold an intent
@@ -54,13 +56,13 @@
       bucketLoaded_ &&
       std::all_of(batch_.begin(), batch_.end(), [this](const Entry& aEntry) {
         return aEntry.op_.id_ <= lastIdAtRead_ ||
-               IsFinal(aEntry.decision_.verdict_);
+               IsFinal(aEntry.beginResult_.beginStatus_);
       });
     if (!fresh) {
       RequeueBatch(aNow);
       inFlight_ = true;
       lastIdAtRead_ = lastId_;
-      return OnceIo{ .kind_ = OnceIoKind::kRead };
+      return OnceStoreCall{ .kind_ = OnceStoreCallKind::kRead };
     }
     for (const Entry& entry : batch_) {
       Reply(entry);
@@ -73,7 +75,7 @@
 bool OnceCommitter::HasDueOperation(TimePoint aNow) const
 {
   return std::any_of(queue_.begin(), queue_.end(), [aNow](const Entry& aEntry) {
-    return aEntry.op_.writeAt_ <= aNow;
+    return aEntry.op_.flushAt_ <= aNow;
   });
 }
 
@@ -99,8 +101,8 @@
   OnceOp& op = aEntry.op_;
   switch (op.kind_) {
     case OnceOpKind::kBegin:
-      aEntry.decision_ = aBucket.Begin(op.intent_, aWall);
-      return aEntry.decision_.changed_;
+      aEntry.beginResult_ = aBucket.Begin(op.intent_, aWall);
+      return aEntry.beginResult_.changed_;
     case OnceOpKind::kFinish:
       return aBucket.Finish(
         op.intent_.key_, op.intent_.nonce_, op.state_, op.result_, aWall);
@@ -124,7 +126,7 @@
   bucket_ = OnceBucket::Parse(aSpec, options_.bucket_);
 }
 
-void OnceCommitter::OnAbsent()
+void OnceCommitter::OnNotFound()
 {
   OnRead({}, nlohmann::json::object());
 }
@@ -231,7 +233,7 @@
   if (!aEntry.refused_) {
     replies_.push_back({ .id_ = aEntry.op_.id_,
                          .committed_ = true,
-                         .decision_ = aEntry.decision_ });
+                         .beginResult_ = aEntry.beginResult_ });
   }
 }
 
@@ -249,16 +251,16 @@
   return std::exchange(replies_, {});
 }
 
-std::optional<TimePoint> OnceCommitter::WakeAt() const
+std::optional<TimePoint> OnceCommitter::NextWakeTime() const
 {
   if (queue_.empty() || inFlight_) {
     return std::nullopt;
   }
   const auto first = std::min_element(
     queue_.begin(), queue_.end(), [](const Entry& aLeft, const Entry& aRight) {
-      return aLeft.op_.writeAt_ < aRight.op_.writeAt_;
+      return aLeft.op_.flushAt_ < aRight.op_.flushAt_;
     });
-  return std::max(retryAt_, first->op_.writeAt_);
+  return std::max(retryAt_, first->op_.flushAt_);
 }
 
 } // namespace gooseberrylift
--- a/src/front/gooseberrylift-caller-front.cc
+++ b/src/front/gooseberrylift-caller-front.cc
@@ -123,7 +123,7 @@
 
   // Tokens that came in one piece leave in one write; none waits for the next
   // piece. Those of a piece that turned out faulty stay for the next attempt's.
-  asio::awaitable<bool> OnPause() override
+  asio::awaitable<bool> Flush() override
   {
     if (events_.empty()) {
       co_return true;
@@ -139,7 +139,7 @@
   asio::awaitable<void> Finish()
   {
     events_ += "data: [DONE]\n\n";
-    const bool sent = co_await OnPause();
+    const bool sent = co_await Flush();
     if (sent) {
       co_await exchange_.Finish();
     }
@@ -425,11 +425,11 @@
                   .target_ = std::move(target),
                   .fields_ = std::move(fields),
                   .body_ = std::move(request.body_) },
-    .repeatable_ = service->repeatableMethods_.contains(request.method_),
+    .retryable_ = service->repeatableMethods_.contains(request.method_),
   };
   aExchange.SetDeadline(call.info_.deadline_);
   const std::string key(request.Field("Idempotency-Key"));
-  if (!call.repeatable_ && !key.empty()) {
+  if (!call.retryable_ && !key.empty()) {
     co_return co_await HandleOnce(aExchange, std::move(call), key);
   }
   auto answer = co_await parts_.services_.Run(std::move(call));
--- a/src/gateway/gooseberrylift-endpoint-limiter.cc
+++ b/src/gateway/gooseberrylift-endpoint-rate-limiter.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 
 #include <algorithm>
 
@@ -54,7 +54,7 @@
 
 } // namespace
 
-EndpointLimiter::EndpointLimiter(Parts aParts, Options aOptions)
+EndpointRateLimiter::EndpointRateLimiter(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , granter_({ .phase_ = RandomPhase() })
@@ -62,9 +62,9 @@
 {
 }
 
-void EndpointLimiter::OnAnswer(const Incarnation& aEndpoint,
-                               const AdvertisedRateLimit& aNotice,
-                               TimePoint aSent)
+void EndpointRateLimiter::OnAnswer(const Incarnation& aEndpoint,
+                                   const AdvertisedRateLimit& aNotice,
+                                   TimePoint aSent)
 {
   std::optional<EndpointRate> changed;
   {
@@ -73,11 +73,11 @@
   }
   if (changed) {
     OnChanged(*changed, "answer");
-    parts_.tell_();
+    parts_.notifyPeers_();
   }
 }
 
-void EndpointLimiter::OnPeer(const std::vector<EndpointRate>& aEntries)
+void EndpointRateLimiter::OnPeer(const std::vector<EndpointRate>& aEntries)
 {
   if (aEntries.empty()) {
     return;
@@ -92,7 +92,8 @@
   }
 }
 
-void EndpointLimiter::OnChanged(const EndpointRate& aRate, const char* aSource)
+void EndpointRateLimiter::OnChanged(const EndpointRate& aRate,
+                                    const char* aSource)
 {
   LogRate(aRate, aSource);
   if (!aRate.perSecond_) {
@@ -102,9 +103,9 @@
   }
 }
 
-void EndpointLimiter::SetPeers(const std::vector<Digest>& aLive,
-                               std::size_t aKnown,
-                               bool aStopping)
+void EndpointRateLimiter::SetPeers(const std::vector<Digest>& aLive,
+                                   std::size_t aKnown,
+                                   bool aStopping)
 {
   const bool small = aKnown < PeerTable::kSmallFleet;
   std::map<std::string, std::vector<PeerMember>> hosts;
@@ -126,19 +127,19 @@
   ownScope_ = scope;
 }
 
-std::vector<EndpointRate> EndpointLimiter::Entries()
+std::vector<EndpointRate> EndpointRateLimiter::Entries()
 {
   const std::lock_guard lock(mutex_);
   return rates_.Entries();
 }
 
-std::optional<double> EndpointLimiter::Of(const Incarnation& aEndpoint)
+std::optional<double> EndpointRateLimiter::Of(const Incarnation& aEndpoint)
 {
   const std::lock_guard lock(mutex_);
   return rates_.Of(aEndpoint);
 }
 
-LimitedEndpoints EndpointLimiter::Judge(
+LimitedEndpoints EndpointRateLimiter::CheckPermits(
   const std::vector<ListedEndpoint>& aCandidates)
 {
   const TimePoint now = TimerService::Now();
@@ -175,7 +176,7 @@
   return limited;
 }
 
-bool EndpointLimiter::Take(const Incarnation& aEndpoint)
+bool EndpointRateLimiter::Take(const Incarnation& aEndpoint)
 {
   {
     const std::lock_guard lock(mutex_);
@@ -191,7 +192,7 @@
   return true;
 }
 
-milliseconds EndpointLimiter::TimeUntilPermit(
+milliseconds EndpointRateLimiter::TimeUntilPermit(
   const std::vector<ListedEndpoint>& aEndpoints)
 {
   const TimePoint now = TimerService::Now();
@@ -205,7 +206,7 @@
 }
 
 // Must be called with mutex_ locked.
-EndpointLimiter::Granter EndpointLimiter::GranterFor(
+EndpointRateLimiter::Granter EndpointRateLimiter::GranterFor(
   const Incarnation& aEndpoint)
 {
   std::vector<std::string> zones;
@@ -234,7 +235,7 @@
     });
 }
 
-asio::awaitable<void> EndpointLimiter::RequestPermits(EndpointRate aRate)
+asio::awaitable<void> EndpointRateLimiter::RequestPermits(EndpointRate aRate)
 {
   const Incarnation endpoint = aRate.endpoint_;
   Granter granter;
@@ -259,7 +260,7 @@
 
 // Sends a permit request to the presumed granting host. If that host doesn't
 // grant for this endpoint, it names the one that does, which is tried next.
-asio::awaitable<Outcome<json>> EndpointLimiter::RequestFromGranter(
+asio::awaitable<Outcome<json>> EndpointRateLimiter::RequestFromGranter(
   EndpointRate aRate,
   Granter aGranter)
 {
@@ -274,8 +275,8 @@
   co_return co_await parts_.call_(aGranter, MakePermitRequest(aRate), deadline);
 }
 
-void EndpointLimiter::ApplyGrant(const Incarnation& aEndpoint,
-                                 const json& aAnswer)
+void EndpointRateLimiter::ApplyGrant(const Incarnation& aEndpoint,
+                                     const json& aAnswer)
 {
   RateGrant grant;
   std::vector<EndpointRate> rates;
@@ -297,7 +298,7 @@
 }
 
 // Must be called with mutex_ locked.
-RateGrant EndpointLimiter::GrantPermits(const EndpointRate& aRate)
+RateGrant EndpointRateLimiter::GrantPermits(const EndpointRate& aRate)
 {
   const auto known = rates_.Find(aRate.endpoint_);
   const auto rate = known ? known->perSecond_ : aRate.perSecond_;
@@ -309,7 +310,7 @@
     aRate.endpoint_, *rate, granterCount_, TimerService::Now());
 }
 
-json EndpointLimiter::Answer(const json& aParams)
+json EndpointRateLimiter::Answer(const json& aParams)
 {
   std::vector<EndpointRate> rates;
   try {
@@ -341,7 +342,7 @@
   return answer;
 }
 
-void EndpointLimiter::Sweep()
+void EndpointRateLimiter::Sweep()
 {
   const TimePoint now = TimerService::Now();
   const std::lock_guard lock(mutex_);
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -73,7 +73,7 @@
   if (request.table_->NeedsKeys() && !request.route_->public_) {
     // With an outdated key list, a revoked key could be accepted and a new one
     // rejected.
-    if (!parts_.run_.routes_.KeysAreProven()) {
+    if (!parts_.run_.routes_.AreKeysProven()) {
       Error error = MakeError(ResultCode::kFreshnessLost);
       error.retryAfter_ = kConfigurationRetryDelay;
       return error;
@@ -121,8 +121,8 @@
   }
   const RoutedRequest& routed = request.value();
   {
-    const std::lock_guard lock(parts_.run_.repeats_.mutex_);
-    parts_.run_.repeats_.budget_.OnRequest(routed.service_, arrived);
+    const std::lock_guard lock(parts_.run_.retryBudget_.mutex_);
+    parts_.run_.retryBudget_.budget_.OnRequest(routed.service_, arrived);
   }
   aExchange.SetDeadline(routed.deadline_);
   RequestRun run(parts_.run_, aExchange, routed);
--- a/src/gateway/gooseberrylift-peer-keys.cc
+++ b/src/gateway/gooseberrylift-peer-keys.cc
@@ -78,7 +78,7 @@
   milliseconds retryDelay = kInitialRetryDelay;
   while (true) {
     const TimePoint deadline = TimerService::Now() + kTimeout;
-    const auto object = co_await aStore.ReadAnyAge(kKind, kName, deadline);
+    const auto object = co_await aStore.ReadAllowStale(kKind, kName, deadline);
     std::string key = KeyOf(object);
     if (key.empty() && IsMissing(object) && attempts < kMaxReadAttempts) {
       ++attempts;
--- a/src/gateway/gooseberrylift-suspect-watch.cc
+++ b/src/gateway/gooseberrylift-poison-request-monitor.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-suspect-watch.h"
+#include "gooseberrylift/internal/gooseberrylift-poison-request-monitor.h"
 
 #include "gooseberrylift/internal/gooseberrylift-log.h"
 #include "gooseberrylift/internal/gooseberrylift-tasks.h"
@@ -23,13 +23,13 @@
 
 } // namespace
 
-SuspectWatch::SuspectWatch(Parts aParts)
+PoisonRequestMonitor::PoisonRequestMonitor(Parts aParts)
   : parts_(std::move(aParts))
 {
 }
 
-void SuspectWatch::OnConnectionLost(const std::string& aFingerprint,
-                                    const ListedEndpoint& aEndpoint)
+void PoisonRequestMonitor::OnConnectionLost(const std::string& aFingerprint,
+                                            const ListedEndpoint& aEndpoint)
 {
   bool quarantined = false;
   bool startCheck = false;
@@ -47,7 +47,8 @@
   }
 }
 
-asio::awaitable<void> SuspectWatch::CheckForExit(ListedEndpoint aEndpoint)
+asio::awaitable<void> PoisonRequestMonitor::CheckForExit(
+  ListedEndpoint aEndpoint)
 {
   co_await TimerService::SleepFor(kCheckDelay);
   const bool refused =
@@ -61,7 +62,7 @@
   }
 }
 
-void SuspectWatch::OnEndpointExit(const std::string& aEndpoint)
+void PoisonRequestMonitor::OnEndpointExit(const std::string& aEndpoint)
 {
   std::vector<std::string> quarantined;
   {
@@ -71,32 +72,32 @@
   ReportQuarantined(quarantined, aEndpoint);
 }
 
-void SuspectWatch::ReportQuarantined(
+void PoisonRequestMonitor::ReportQuarantined(
   const std::vector<std::string>& aFingerprints,
   const std::string& aEndpoint)
 {
   for (const std::string& fingerprint : aFingerprints) {
-    Log(LogEvent::kRequestSuspected,
+    Log(LogEvent::kPoisonRequestDetected,
         { { "fingerprint", fingerprint }, { "endpoint", aEndpoint } });
   }
   if (!aFingerprints.empty()) {
-    parts_.tell_(); // the caller may retry at any host
+    parts_.notifyPeers_(); // the caller may retry at any host
   }
 }
 
-bool SuspectWatch::IsQuarantined(const std::string& aFingerprint)
+bool PoisonRequestMonitor::IsQuarantined(const std::string& aFingerprint)
 {
   const std::lock_guard lock(mutex_);
   return detector_.IsQuarantined(aFingerprint, system_clock::now());
 }
 
-void SuspectWatch::OnPeer(const std::vector<QuarantineEntry>& aEntries)
+void PoisonRequestMonitor::OnPeer(const std::vector<QuarantineEntry>& aEntries)
 {
   const std::lock_guard lock(mutex_);
   detector_.OnPeer(aEntries);
 }
 
-std::vector<QuarantineEntry> SuspectWatch::Entries()
+std::vector<QuarantineEntry> PoisonRequestMonitor::Entries()
 {
   const std::lock_guard lock(mutex_);
   return detector_.Entries(system_clock::now());
--- a/src/gateway/gooseberrylift-request-answer.cc
+++ b/src/gateway/gooseberrylift-request-answer.cc
@@ -57,20 +57,21 @@
 
 // Returns whether to abandon the attempt at a stalled endpoint in favor of
 // another one. If so, charges the retry budget.
-bool RequestRun::TryAbandonStalled(const Fleet::Use& aUse)
+bool RequestRun::TryAbandonStalled(const Fleet::ActiveRequest& aActiveRequest)
 {
-  return IsRequestStalled(aUse.Signs(),
+  return IsRequestStalled(aActiveRequest.CurrentActivity(),
                           EndpointStallTimeout(*request_.route_)) &&
          MayRetryElsewhere() && TryConsumeRetryBudget();
 }
 
-asio::awaitable<Outcome<void>> RequestRun::ReadHead(HttpCall& aCall,
-                                                    Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::ReadHead(
+  HttpCall& aCall,
+  Fleet::ActiveRequest& aActiveRequest)
 {
   aCall.SetDeadline(StallDeadline());
   auto read = co_await aCall.ReadHead();
   while (!read && IsStallTimeout(read.error())) {
-    if (TryAbandonStalled(aUse)) {
+    if (TryAbandonStalled(aActiveRequest)) {
       co_return MakeStallError();
     }
     aCall.SetDeadline(NextStallCheck());
@@ -79,31 +80,35 @@
   if (!read) {
     co_return read.error();
   }
-  if (const auto rejection = ValidateHead(aCall.Head(), aUse)) {
+  if (const auto rejection = ValidateHead(aCall.Head(), aActiveRequest)) {
     co_return *rejection;
   }
-  aUse.OnHeard(request_.route_->kind_ != RouteKind::kStreaming);
+  aActiveRequest.OnDataReceived(request_.route_->kind_ !=
+                                RouteKind::kStreaming);
   co_return boost::outcome_v2::success();
 }
 
 // Records the rate limit in a response. A response of another incarnation
 // doesn't apply to this one, and an unsigned response must not lift a limit.
 void RequestRun::RecordRateLimit(const EndpointFacts& aFacts,
-                                 const Fleet::Use& aUse)
+                                 const Fleet::ActiveRequest& aActiveRequest)
 {
   const bool isNamed =
     aFacts.rate_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
   if (!aFacts.replaced_ && (isNamed || aFacts.genuine_)) {
     parts_.limiter_.OnAnswer(
-      aUse.Placement().endpoint_.IncarnationId(), aFacts.rate_, aUse.SentAt());
+      aActiveRequest.Placement().endpoint_.IncarnationId(),
+      aFacts.rate_,
+      aActiveRequest.SentAt());
   }
 }
 
 // Checks the head of a response before its content is trusted.
-std::optional<Error> RequestRun::ValidateHead(const HttpResponse& aHead,
-                                              const Fleet::Use& aUse)
+std::optional<Error> RequestRun::ValidateHead(
+  const HttpResponse& aHead,
+  const Fleet::ActiveRequest& aActiveRequest)
 {
-  const FleetPlacement& placement = aUse.Placement();
+  const FleetPlacement& placement = aActiveRequest.Placement();
   const EndpointFacts facts = parts_.dialect_.ReadEndpoint(aHead);
   // A late response to an earlier request could be mistaken for this one's. A
   // refusal in it would not prove that this request has not run.
@@ -112,7 +117,7 @@
                   .text_ = "answer to '" + facts.attemptId_ + "'",
                   .ran_ = RanState::kUnknown };
   }
-  RecordRateLimit(facts, aUse);
+  RecordRateLimit(facts, aActiveRequest);
   if (facts.replaced_) {
     parts_.fleet_.WithDirectory([&](EndpointDirectory& aDirectory) {
       aDirectory.OnReplaced(placement.endpoint_.id_);
@@ -142,12 +147,12 @@
 
 asio::awaitable<Outcome<std::optional<std::string>>> RequestRun::ReadChunk(
   HttpCall& aCall,
-  const Fleet::Use& aUse)
+  const Fleet::ActiveRequest& aActiveRequest)
 {
   aCall.SetDeadline(StallDeadline());
   auto chunk = co_await aCall.ReadSome();
   while (!chunk && IsStallTimeout(chunk.error())) {
-    if (TryAbandonStalled(aUse)) {
+    if (TryAbandonStalled(aActiveRequest)) {
       co_return MakeStallError();
     }
     aCall.SetDeadline(NextStallCheck());
@@ -158,11 +163,11 @@
 
 asio::awaitable<Outcome<void>> RequestRun::ForwardBuffered(
   HttpCall& aCall,
-  const Fleet::Use& aUse)
+  const Fleet::ActiveRequest& aActiveRequest)
 {
   HttpResponse answer = parts_.dialect_.ForCaller(aCall.Head());
   while (true) {
-    auto chunk = co_await ReadChunk(aCall, aUse);
+    auto chunk = co_await ReadChunk(aCall, aActiveRequest);
     if (!chunk) {
       co_return chunk.error();
     }
@@ -216,20 +221,21 @@
   co_return MakeError(ResultCode::kCallerLeft);
 }
 
-asio::awaitable<Outcome<void>> RequestRun::ForwardStream(HttpCall& aCall,
-                                                         Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::ForwardStream(
+  HttpCall& aCall,
+  Fleet::ActiveRequest& aActiveRequest)
 {
   EventSplitter splitter;
   bool first = true;
   while (true) {
-    auto chunk = co_await ReadChunk(aCall, aUse);
+    auto chunk = co_await ReadChunk(aCall, aActiveRequest);
     if (!chunk) {
       co_return chunk.error();
     }
     if (!chunk.value()) {
       break;
     }
-    aUse.OnHeard(first);
+    aActiveRequest.OnDataReceived(first);
     first = false;
     splitter.Feed(*chunk.value());
     auto events = ParseEvents(splitter);
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -115,7 +115,7 @@
       attempts_.OnRefused(*refusal);
       break;
     }
-    if (!parts_.fleet_.Claim(*placement)) {
+    if (!parts_.fleet_.TryUsePermit(*placement)) {
       continue;
     }
     LogPlacement(*placement);
@@ -146,12 +146,12 @@
   if (TimerService::Now() + kMinRemaining >= request_.deadline_) {
     return MakeError(ResultCode::kDeadlineExceeded);
   }
-  if (parts_.suspects_.IsQuarantined(request_.fingerprint_)) {
+  if (parts_.poisonRequestMonitor_.IsQuarantined(request_.fingerprint_)) {
     Error error = MakeError(ResultCode::kSuspectRequest);
     error.retryAfter_ = kQuarantineRetryDelay;
     return error;
   }
-  if (request_.authenticatedByKey_ && !parts_.routes_.KeysAreProven()) {
+  if (request_.authenticatedByKey_ && !parts_.routes_.AreKeysProven()) {
     Error error = MakeError(ResultCode::kFreshnessLost);
     error.retryAfter_ = RandomRetryDelay();
     return error;
@@ -181,7 +181,7 @@
   const RoutedService* service =
     request_.table_->ServiceByName(request_.service_);
   if (service != nullptr) {
-    query.figures_ = service->engine_;
+    query.engineProfile_ = service->engine_;
   }
   query.gaps_ = request_.table_->GapsOf(request_.service_);
   return query;
@@ -222,7 +222,8 @@
                                   .executor_ = parts_.executor_ };
   MemoryReservation::Options options;
   options.duration_ =
-    std::min(options.duration_, parts_.board_.bounds_.Read()->bounds_.maxHold_);
+    std::min(options.duration_,
+             parts_.board_.gatewaySettings_.Read()->gatewaySettings_.maxHold_);
   co_return co_await MemoryReservation::Acquire(std::move(parts),
                                                 request_.facts_.attemptId_ +
                                                   "-" + std::to_string(sends_),
@@ -234,7 +235,7 @@
 asio::awaitable<Outcome<void>> RequestRun::Attempt(FleetPlacement aPlacement)
 {
   const FleetQuery query = MakeQuery();
-  Fleet::Use use(parts_.fleet_, query, std::move(aPlacement));
+  Fleet::ActiveRequest use(parts_.fleet_, query, std::move(aPlacement));
   AnnouncePlacement(use.Placement());
   const TimePoint startTime = TimerService::Now();
   auto reservation = co_await ReserveMemory(use.Placement());
@@ -279,7 +280,7 @@
     }
   }
   use.End(done ? EndpointOutcome::kServed : OutcomeOf(done.error()));
-  parts_.words_.OnEnded();
+  parts_.words_.OnRequestEnded();
   co_return done;
 }
 
@@ -289,8 +290,8 @@
 {
   std::vector<ListedEndpoint> endpoints = aPlacement.helpers_;
   endpoints.push_back(aPlacement.endpoint_);
-  parts_.words_.OnPlaced(endpoints,
-                         aPlacement.cost_.prefill_ > kMinAnnouncedPrefill);
+  parts_.words_.OnRequestPlaced(
+    endpoints, aPlacement.cost_.prefill_ > kMinAnnouncedPrefill);
 }
 
 // Reports an endpoint whose response broke off or was invalid to the detection
@@ -300,7 +301,8 @@
                                       const Error& aError)
 {
   if (aError.code_ == ResultCode::kEndpointBroken) {
-    parts_.suspects_.OnConnectionLost(request_.fingerprint_, aEndpoint);
+    parts_.poisonRequestMonitor_.OnConnectionLost(request_.fingerprint_,
+                                                  aEndpoint);
   }
 }
 
@@ -314,8 +316,9 @@
   if (!notReceived && !request_.route_->IsRepeatable()) {
     return false;
   }
-  const bool noneLeft = aError.code_ == ResultCode::kEndpointUnreachable &&
-                        !parts_.fleet_.HasOther(request_.service_, tried_);
+  const bool noneLeft =
+    aError.code_ == ResultCode::kEndpointUnreachable &&
+    !parts_.fleet_.HasUntriedEndpoint(request_.service_, tried_);
   if (sends_ >= request_.route_->maxAttempts_ || noneLeft ||
       timeOnUnsentAttempts_ > kMaxTimeOnUnsentAttempts) {
     return false;
@@ -345,9 +348,9 @@
 
 bool RequestRun::TryConsumeRetryBudget()
 {
-  const std::lock_guard lock(parts_.repeats_.mutex_);
-  retryBudgeted_ = parts_.repeats_.budget_.TryRetry(
-    request_.service_, parts_.repeats_.hosts_, TimerService::Now());
+  const std::lock_guard lock(parts_.retryBudget_.mutex_);
+  retryBudgeted_ = parts_.retryBudget_.budget_.TryRetry(
+    request_.service_, parts_.retryBudget_.hosts_, TimerService::Now());
   return retryBudgeted_;
 }
 
--- a/src/gateway/gooseberrylift-request-waiting.cc
+++ b/src/gateway/gooseberrylift-request-waiting.cc
@@ -48,7 +48,7 @@
 HoldDecision RequestRun::DecideHold(const FleetPlacement& aPlacement) const
 {
   const EngineProfile* figures = FindEngineProfile();
-  if (!aPlacement.long_ || sends_ > 0 || figures == nullptr) {
+  if (!aPlacement.slowsDecoding_ || sends_ > 0 || figures == nullptr) {
     return HoldDecision::kSend;
   }
   HoldInput input = MakeHoldInput(*figures, aPlacement.wait_);
--- a/src/gateway/gooseberrylift-store-follower.cc
+++ b/src/gateway/gooseberrylift-store-follower.cc
@@ -54,7 +54,7 @@
     list.push_back({ object.name_, object.version_, object.spec_ });
   }
   json answer = { { kRevision, aDelta.revision_ },
-                  { kObjects, PackText(list.dump()) },
+                  { kObjects, CompressToBase64(list.dump()) },
                   { kRemoved, aDelta.removed_ } };
   if (aDelta.names_) {
     answer[kNames] = *aDelta.names_;
@@ -67,7 +67,7 @@
 {
   StoreDelta delta;
   delta.revision_ = aAnswer.at(kRevision);
-  const auto objects = UnpackText(aAnswer.at(kObjects));
+  const auto objects = DecompressFromBase64(aAnswer.at(kObjects));
   for (const json& item : json::parse(objects.value_or(kInvalidJson))) {
     delta.objects_.push_back(
       { .name_ = item.at(0), .version_ = item.at(1), .spec_ = item.at(2) });
@@ -107,7 +107,7 @@
 asio::awaitable<void> StoreFollower::Run()
 {
   if (options_.hasPeers_) {
-    co_await ReadAnyAge();
+    co_await ReadAllowStale();
   }
   while (true) {
     const milliseconds due =
@@ -124,15 +124,16 @@
 
 // Lists of any age. On failure it does nothing, since Read() follows and
 // handles store errors.
-asio::awaitable<void> StoreFollower::ReadAnyAge()
+asio::awaitable<void> StoreFollower::ReadAllowStale()
 {
   const TimePoint limit = TimerService::Now() + options_.callTimeout_;
   auto endpoints =
-    co_await parts_.store_.ListAnyAge(options_.endpointsKind_, limit);
+    co_await parts_.store_.ListAllowStale(options_.endpointsKind_, limit);
   if (!endpoints) {
     co_return;
   }
-  auto routes = co_await parts_.store_.ListAnyAge(options_.routesKind_, limit);
+  auto routes =
+    co_await parts_.store_.ListAllowStale(options_.routesKind_, limit);
   if (!routes) {
     co_return;
   }
--- a/src/host/gooseberrylift-gateway-host.cc
+++ b/src/host/gooseberrylift-gateway-host.cc
@@ -76,36 +76,37 @@
              .limiter_ = limiter_,
              .onRestarted_ =
                [this](const std::string& aEndpoint) {
-                 suspects_.OnEndpointExit(aEndpoint);
+                 poisonRequestMonitor_.OnEndpointExit(aEndpoint);
                } })
   , routes_(*dialect_, board_)
   , endpoints_(*dialect_, fleet_)
   , storeFollower_(StoreFollowerParts(), StoreFollowerOptions())
-  , peers_(
-      { .settings_ = settings_,
-        .store_ = *store_,
-        .client_ = peerClient_,
+  , peers_({ .settings_ = settings_,
+             .store_ = *store_,
+             .client_ = peerClient_,
+             .executor_ = context_.get_executor(),
+             .own_ = [this] { return OwnDigest(); },
+             .onPeersChanged_ =
+               [this](const PeersState& aPeers) { ApplyPeers(aPeers); },
+             .isListed_ = [this] { return rank_.rank_ == 0; } },
+           { .round_ = kPeerRound,
+             .largeFleetRound_ = kLargePeerRound,
+             .publishesInRounds_ = true,
+             .callTimeout_ = milliseconds(500),
+             .roundFanout_ = kPeerRoundFanout,
+             .roundsUntilExpired_ = kPeerRoundsUntilExpired,
+             .relayed_ = kRelayedDigests })
+  , poisonRequestMonitor_(
+      { .client_ = client_,
         .executor_ = context_.get_executor(),
-        .own_ = [this] { return OwnDigest(); },
-        .publish_ = [this](const PeersState& aPeers) { ApplyPeers(aPeers); },
-        .isListed_ = [this] { return rank_.rank_ == 0; } },
-      { .round_ = kPeerRound,
-        .largeFleetRound_ = kLargePeerRound,
-        .publishesInRounds_ = true,
-        .callTimeout_ = milliseconds(500),
-        .roundFanout_ = kPeerRoundFanout,
-        .roundsUntilExpired_ = kPeerRoundsUntilExpired,
-        .relayed_ = kRelayedDigests })
-  , suspects_({ .client_ = client_,
-                .executor_ = context_.get_executor(),
-                .tell_ = [this] { peers_.TellNear(); } })
+        .notifyPeers_ = [this] { peers_.ExchangeInScope(); } })
   , datagrams_(context_.get_executor())
   , statusExchange_(
       { .executor_ = context_.get_executor(),
         .datagrams_ = datagrams_,
-        .draw_ = [this] { return SamplePeers(peerGroups_, random_); },
+        .samplePeers_ = [this] { return SamplePeers(peerGroups_, random_); },
         .own_ = [this] { return storeFollower_.CurrentStatus(); },
-        .take_ =
+        .onReceived_ =
           [this](const PeerMember& aPeer,
                  const StoreStatus& aStatus,
                  std::optional<BootTime> aRequestTime) {
@@ -117,13 +118,13 @@
       { .executor_ = context_.get_executor(),
         .datagrams_ = datagrams_,
         .own_ = [this] { return fleet_.OwnShares(); },
-        .ownAt_ =
+        .ownSharesAt_ =
           [this](const std::vector<ListedEndpoint>& aEndpoints) {
             return fleet_.OwnSharesAt(aEndpoints);
           },
-        .zoneSums_ =
+        .zoneTotals_ =
           [this] { return fleet_.SumSharesOf(peerGroups_.zoneHosts_); },
-        .take_ =
+        .onReceived_ =
           [this](const LoadMessage& aMessage) {
             metrics_.Count("gooseberrylift_load_words_total", "");
             fleet_.OnLoadMessage(aMessage);
@@ -145,8 +146,8 @@
                        .dialect_ = *dialect_,
                        .fleet_ = fleet_,
                        .routes_ = routes_,
-                       .repeats_ = repeats_,
-                       .suspects_ = suspects_,
+                       .retryBudget_ = retryBudget_,
+                       .poisonRequestMonitor_ = poisonRequestMonitor_,
                        .limiter_ = limiter_,
                        .executor_ = context_.get_executor(),
                        .words_ = loadExchange_ } })
@@ -197,8 +198,8 @@
   digest.generation_ = table ? table->Version() : 0;
   digest.storeReachable_ = !storeFollower_.IsStoreUnavailable();
   digest.draining_ = board_.host_.Read()->draining_;
-  digest.keysProven_ = routes_.KeysAreProven();
-  digest.quarantine_ = suspects_.Entries();
+  digest.keysProven_ = routes_.AreKeysProven();
+  digest.quarantine_ = poisonRequestMonitor_.Entries();
   digest.rates_ = limiter_.Entries();
   return digest;
 }
@@ -226,15 +227,15 @@
                       aPeers.digests_);
   }
   for (const Digest& digest : aPeers.digests_) {
-    suspects_.OnPeer(digest.quarantine_);
+    poisonRequestMonitor_.OnPeer(digest.quarantine_);
     limiter_.OnPeer(digest.rates_);
   }
   limiter_.SetPeers(
     aPeers.digests_, aPeers.known_, board_.host_.Read()->draining_);
   fleet_.Sweep();
   limiter_.Sweep();
-  const std::lock_guard lock(repeats_.mutex_);
-  repeats_.hosts_ = aPeers.known_ + 1;
+  const std::lock_guard lock(retryBudget_.mutex_);
+  retryBudget_.hosts_ = aPeers.known_ + 1;
 }
 
 bool GatewayHost::IsSeed() const
@@ -251,7 +252,7 @@
   return settings_.admin_.address_ + ":" + std::to_string(port);
 }
 
-EndpointLimiter::Parts GatewayHost::LimiterParts()
+EndpointRateLimiter::Parts GatewayHost::LimiterParts()
 {
   return {
     .executor_ = context_.get_executor(),
@@ -260,7 +261,7 @@
       [this](const Incarnation& aEndpoint) {
         return fleet_.IsListed(aEndpoint);
       },
-    .tell_ = [this] { peers_.TellNear(); },
+    .notifyPeers_ = [this] { peers_.ExchangeInScope(); },
     .call_ =
       [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aDeadline) {
         return peers_.Call(
@@ -290,7 +291,7 @@
         Log(aReachable ? LogEvent::kStoreReached : LogEvent::kStoreLost);
       },
     .onStoreReturned_ = [this] { endpoints_.OnStoreReturned(); },
-    .onNewData_ = [this] { statusExchange_.AskNow(); },
+    .onNewData_ = [this] { statusExchange_.SendRequestNow(); },
     .rank_ = [this] { return rank_; },
   };
 }
@@ -314,7 +315,7 @@
   const auto open =
     datagrams_.Start(settings_.peer_.address_, peerServer_.Port(), key);
   if (!open) {
-    Log(LogEvent::kPeerWordsFailed, { { "fault", open.error().text_ } });
+    Log(LogEvent::kLoadPortUnavailable, { { "fault", open.error().text_ } });
   }
   loadExchange_.Start();
   if (settings_.gateway_->relaysStore_) {
@@ -325,9 +326,9 @@
 
 void GatewayHost::ApplyGatewaySettings(const GatewaySettings& aGatewaySettings)
 {
-  board_.bounds_.Write({ .bounds_ = aGatewaySettings });
-  const std::lock_guard lock(repeats_.mutex_);
-  repeats_.budget_.SetOptions(
+  board_.gatewaySettings_.Write({ .gatewaySettings_ = aGatewaySettings });
+  const std::lock_guard lock(retryBudget_.mutex_);
+  retryBudget_.budget_.SetOptions(
     { .ratio_ = aGatewaySettings.retryRatio_,
       .window_ = aGatewaySettings.retryWindow_,
       .allowance_ = aGatewaySettings.retryAllowance_ });
@@ -379,7 +380,7 @@
   // A host that must reject keys reports that it is not ready while another
   // host can accept them. If no host can, it stays ready: it may be the first
   // to reach the store again, and it can serve public routes meanwhile.
-  if (table->NeedsKeys() && peersHaveProvenKeys_ && !routes_.KeysAreProven()) {
+  if (table->NeedsKeys() && peersHaveProvenKeys_ && !routes_.AreKeysProven()) {
     return "keys are not proven here, but they are on other hosts";
   }
   return {};
@@ -406,7 +407,7 @@
     { "generation", table ? table->Version() : 0 },
     { "store_reachable", !storeFollower_.IsStoreUnavailable() },
     { "proof_age_ms", age ? age->count() : -1 },
-    { "keys_proven", routes_.KeysAreProven() },
+    { "keys_proven", routes_.AreKeysProven() },
   };
   return status.dump();
 }
@@ -414,7 +415,7 @@
 asio::awaitable<void> GatewayHost::HandleAdmin(HttpExchange& aExchange)
 {
   // A starting host knows only the admin addresses of other hosts.
-  if (PeerRpc::IsCall(aExchange.Request())) {
+  if (PeerRpc::IsRpcRequest(aExchange.Request())) {
     co_await peers_.Handle(aExchange);
     co_return;
   }
--- a/src/runtime/gooseberrylift-log-sink.h
+++ b/src/runtime/gooseberrylift-log-sink.h
@@ -15,7 +15,7 @@
 /// A write to a full pipe would block all requests of the process; with this
 /// function a log collector that hangs costs only log lines.
 /// @return false if the line was dropped
-bool WriteWithoutWaiting(int aDescriptor, std::string aLine);
+bool WriteNonBlocking(int aDescriptor, std::string aLine);
 
 } // namespace gooseberrylift
 
--- a/src/runtime/gooseberrylift-log.cc
+++ b/src/runtime/gooseberrylift-log.cc
@@ -96,7 +96,7 @@
                 "store-reading",
                 "The host starts or stops reading the store on behalf of its "
                 "peers; while stopped, it receives changes from them." },
-  LogEventInfo{ kZoneSummed,
+  LogEventInfo{ kZoneAggregatorChanged,
                 LogLevel::kInfo,
                 "zone-summed",
                 "The host starts or stops sending the total load of its "
@@ -115,7 +115,7 @@
     LogLevel::kWarning,
     "entry-refused",
     "An endpoint's entry in the store is invalid and was ignored." },
-  LogEventInfo{ kEndpointReborn,
+  LogEventInfo{ kEndpointRestarted,
                 LogLevel::kInfo,
                 "endpoint-reborn",
                 "An endpoint restarted under the same id; the state kept for "
@@ -157,7 +157,7 @@
     "request-refused",
     "A request was rejected without being sent; the fields give the "
     "reasons." },
-  LogEventInfo{ kRequestSuspected,
+  LogEventInfo{ kPoisonRequestDetected,
                 LogLevel::kWarning,
                 "request-suspected",
                 "A request crashed two endpoints; all hosts now reject it." },
@@ -174,7 +174,7 @@
                 "peer-refused",
                 "A message from another host was rejected: invalid signature, "
                 "duplicate, or clock skew." },
-  LogEventInfo{ kPeerWordsFailed,
+  LogEventInfo{ kLoadPortUnavailable,
                 LogLevel::kError,
                 "peer-words-failed",
                 "The port for load messages could not be bound; load is "
@@ -242,7 +242,7 @@
 protected:
   void handle(const el::LogDispatchData* aData) override
   {
-    if (!WriteWithoutWaiting(STDOUT_FILENO, aData->logMessage()->message())) {
+    if (!WriteNonBlocking(STDOUT_FILENO, aData->logMessage()->message())) {
       sDroppedLines.fetch_add(1, std::memory_order_relaxed);
     }
   }
--- a/src/runtime/gooseberrylift-peer-exchange.cc
+++ b/src/runtime/gooseberrylift-peer-exchange.cc
@@ -433,7 +433,7 @@
 
 // Sending at once lets a configuration spread through the fleet in a few round
 // trips instead of a few rounds.
-void PeerExchange::TellNews()
+void PeerExchange::AnnounceConfiguration()
 {
   if (!started_) {
     return;
@@ -447,7 +447,7 @@
   StartExchanges(peers);
 }
 
-void PeerExchange::TellNear()
+void PeerExchange::ExchangeInScope()
 {
   if (!started_) {
     return;
@@ -479,7 +479,7 @@
     known = table_->EstimateOtherHosts();
   }
   noLivePeers_ = live.empty();
-  parts_.publish_({ .digests_ = std::move(live), .known_ = known });
+  parts_.onPeersChanged_({ .digests_ = std::move(live), .known_ = known });
 }
 
 } // namespace gooseberrylift
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -40,7 +40,7 @@
     placement.value().Finish(
       { .endpointAtFault_ = failure.code_ != ResultCode::kCallerLeft });
     const bool notExecuted = failure.ran_ == RanState::kNo;
-    if ((!notExecuted && !aCall.repeatable_) ||
+    if ((!notExecuted && !aCall.retryable_) ||
         failure.code_ == ResultCode::kCallerLeft ||
         failure.code_ == ResultCode::kDeadlineExceeded) {
       break;
@@ -61,7 +61,7 @@
   // fails on it may or may not have been executed. A call that can't be retried
   // therefore gets a new connection.
   const HttpClient::CallOptions options{ .freshConnection_ =
-                                           !aCall.repeatable_ };
+                                           !aCall.retryable_ };
   if (aCall.mayDispatch_ && !aCall.mayDispatch_()) {
     co_return Error{ .code_ = ResultCode::kDeadlineExceeded };
   }
--- a/test/core/gooseberrylift-once-test.cc
+++ b/test/core/gooseberrylift-once-test.cc
@@ -22,7 +22,7 @@
   return { .key_ = aKey,
            .digest_ = aDigest,
            .nonce_ = aNonce,
-           .until_ = kWall + std::chrono::seconds(10) };
+           .leaseUntil_ = kWall + std::chrono::seconds(10) };
 }
 
 OnceOp MakeOperation(OnceOpKind aKind, const OnceIntent& aIntent)
@@ -39,10 +39,10 @@
   int version_ = 0; // 0: absent
   json spec_;
 
-  bool Write(const OnceIo& aCall)
+  bool Write(const OnceStoreCall& aCall)
   {
     const std::string expected =
-      aCall.kind_ == OnceIoKind::kCreate ? "0" : aCall.version_;
+      aCall.kind_ == OnceStoreCallKind::kCreate ? "0" : aCall.version_;
     if (expected != std::to_string(version_)) {
       return false;
     }
@@ -54,12 +54,12 @@
 
 // Executes a store call without faults and reports its result.
 void PerformCall(OnceCommitter& aCommitter,
-                 const OnceIo& aCall,
+                 const OnceStoreCall& aCall,
                  SingleObjectStore& aStore)
 {
-  if (aCall.kind_ == OnceIoKind::kRead) {
+  if (aCall.kind_ == OnceStoreCallKind::kRead) {
     if (aStore.version_ == 0) {
-      aCommitter.OnAbsent();
+      aCommitter.OnNotFound();
     } else {
       aCommitter.OnRead(std::to_string(aStore.version_), aStore.spec_);
     }
@@ -75,22 +75,22 @@
                                     TimePoint aNow = kNow,
                                     WallTime aWall = kWall)
 {
-  while (const auto call = aCommitter.NextIo(aNow, aWall)) {
+  while (const auto call = aCommitter.NextStoreCall(aNow, aWall)) {
     PerformCall(aCommitter, *call, aStore);
   }
   return aCommitter.TakeReplies();
 }
 
-OnceVerdict BeginAndCommit(OnceCommitter& aCommitter,
-                           SingleObjectStore& aStore,
-                           const OnceIntent& aIntent,
-                           WallTime aWall = kWall)
+OnceBeginStatus BeginAndCommit(OnceCommitter& aCommitter,
+                               SingleObjectStore& aStore,
+                               const OnceIntent& aIntent,
+                               WallTime aWall = kWall)
 {
   aCommitter.Submit(MakeOperation(OnceOpKind::kBegin, aIntent));
   const auto replies = RunUntilIdle(aCommitter, aStore, kNow, aWall);
   LONGS_EQUAL(1, replies.size());
   CHECK_TRUE(replies.front().committed_);
-  return replies.front().decision_.verdict_;
+  return replies.front().beginResult_.beginStatus_;
 }
 
 } // namespace
@@ -101,7 +101,7 @@
   OnceCommitter firstCommitter_{ OnceCommitter::Options{} };
   OnceCommitter secondCommitter_{ OnceCommitter::Options{} };
 
-  void CheckStatus(OnceVerdict aExpected, OnceVerdict aActual)
+  void CheckStatus(OnceBeginStatus aExpected, OnceBeginStatus aActual)
   {
     LONGS_EQUAL(static_cast<int>(aExpected), static_cast<int>(aActual));
   }
@@ -109,11 +109,11 @@
 
 TEST(OnceTest, GrantsAKeyToOneAttemptOnly)
 {
-  CheckStatus(OnceVerdict::kBegun,
+  CheckStatus(OnceBeginStatus::kBegun,
               BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a")));
-  CheckStatus(OnceVerdict::kPending,
+  CheckStatus(OnceBeginStatus::kPending,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
-  CheckStatus(OnceVerdict::kPending,
+  CheckStatus(OnceBeginStatus::kPending,
               BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "c")));
 }
 
@@ -125,7 +125,7 @@
   BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
   const WallTime later = kWall + std::chrono::hours(23);
   CheckStatus(
-    OnceVerdict::kUnknown,
+    OnceBeginStatus::kUnknown,
     BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b"), later));
 }
 
@@ -138,15 +138,16 @@
   secondCommitter_.Submit(
     MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "b")));
   const auto replies = RunUntilIdle(secondCommitter_, store_);
-  CheckStatus(OnceVerdict::kReplay, replies.front().decision_.verdict_);
-  STRCMP_EQUAL("result", replies.front().decision_.result_.c_str());
+  CheckStatus(OnceBeginStatus::kReplay,
+              replies.front().beginResult_.beginStatus_);
+  STRCMP_EQUAL("result", replies.front().beginResult_.result_.c_str());
 }
 
 TEST(OnceTest, RefusesTheSameKeyWithAnotherRequest)
 {
   BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
   CheckStatus(
-    OnceVerdict::kOtherRequest,
+    OnceBeginStatus::kKeyReused,
     BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b", "other")));
 }
 
@@ -156,7 +157,7 @@
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kRelease, MakeIntent("k", "a")));
   RunUntilIdle(firstCommitter_, store_);
-  CheckStatus(OnceVerdict::kBegun,
+  CheckStatus(OnceBeginStatus::kBegun,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
@@ -165,12 +166,12 @@
 TEST(OnceTest, RereadsBeforeReportingAKeyAsTaken)
 {
   BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
-  CheckStatus(OnceVerdict::kPending,
+  CheckStatus(OnceBeginStatus::kPending,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kRelease, MakeIntent("k", "a")));
   RunUntilIdle(firstCommitter_, store_);
-  CheckStatus(OnceVerdict::kBegun,
+  CheckStatus(OnceBeginStatus::kBegun,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "c")));
 }
 
@@ -190,10 +191,10 @@
 {
   BeginAndCommit(firstCommitter_, store_, MakeIntent("k", "a"));
   OnceOp outcome = MakeOperation(OnceOpKind::kFinish, MakeIntent("k", "a"));
-  outcome.writeAt_ = kNow + milliseconds(20);
+  outcome.flushAt_ = kNow + milliseconds(20);
   firstCommitter_.Submit(outcome);
-  CHECK_FALSE(firstCommitter_.NextIo(kNow, kWall).has_value());
-  CHECK_TRUE(firstCommitter_.WakeAt() == kNow + milliseconds(20));
+  CHECK_FALSE(firstCommitter_.NextStoreCall(kNow, kWall).has_value());
+  CHECK_TRUE(firstCommitter_.NextWakeTime() == kNow + milliseconds(20));
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kBegin, MakeIntent("other", "b")));
   LONGS_EQUAL(2, RunUntilIdle(firstCommitter_, store_).size());
@@ -209,14 +210,16 @@
 {
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
-  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
-  const auto write = firstCommitter_.NextIo(kNow, kWall);
+  PerformCall(
+    firstCommitter_, *firstCommitter_.NextStoreCall(kNow, kWall), store_);
+  const auto write = firstCommitter_.NextStoreCall(kNow, kWall);
   CHECK_TRUE(store_.Write(*write));
   firstCommitter_.OnFailed(RanState::kUnknown, kNow);
   const auto replies =
     RunUntilIdle(firstCommitter_, store_, kNow + std::chrono::seconds(2));
   LONGS_EQUAL(1, replies.size());
-  CheckStatus(OnceVerdict::kBegun, replies.front().decision_.verdict_);
+  CheckStatus(OnceBeginStatus::kBegun,
+              replies.front().beginResult_.beginStatus_);
   LONGS_EQUAL(1, store_.version_);
 }
 
@@ -227,20 +230,21 @@
 {
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
-  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
-  CHECK_TRUE(store_.Write(*firstCommitter_.NextIo(kNow, kWall)));
+  PerformCall(
+    firstCommitter_, *firstCommitter_.NextStoreCall(kNow, kWall), store_);
+  CHECK_TRUE(store_.Write(*firstCommitter_.NextStoreCall(kNow, kWall)));
   TimePoint now = kNow;
   firstCommitter_.OnFailed(RanState::kUnknown, now);
   for (int failure = 0; failure < 2; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(firstCommitter_.NextIo(now, kWall).has_value());
+    CHECK_TRUE(firstCommitter_.NextStoreCall(now, kWall).has_value());
     firstCommitter_.OnFailed(RanState::kNo, now);
   }
   const auto refused = firstCommitter_.TakeReplies();
   LONGS_EQUAL(1, refused.size());
   CHECK_FALSE(refused.front().committed_);
   RunUntilIdle(firstCommitter_, store_, now + std::chrono::seconds(2));
-  CheckStatus(OnceVerdict::kBegun,
+  CheckStatus(OnceBeginStatus::kBegun,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
@@ -251,8 +255,9 @@
 {
   firstCommitter_.Submit(
     MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a")));
-  PerformCall(firstCommitter_, *firstCommitter_.NextIo(kNow, kWall), store_);
-  const auto delayedWrite = firstCommitter_.NextIo(kNow, kWall);
+  PerformCall(
+    firstCommitter_, *firstCommitter_.NextStoreCall(kNow, kWall), store_);
+  const auto delayedWrite = firstCommitter_.NextStoreCall(kNow, kWall);
   TimePoint now = kNow + std::chrono::hours(2); // past the operation's deadline
   firstCommitter_.OnTick(now);
   CHECK_FALSE(firstCommitter_.TakeReplies().front().committed_);
@@ -266,8 +271,8 @@
   OnceOp op = MakeOperation(OnceOpKind::kBegin, MakeIntent("k", "a"));
   op.deadline_ = kNow + milliseconds(100);
   firstCommitter_.Submit(op);
-  CHECK_TRUE(
-    firstCommitter_.NextIo(kNow, kWall).has_value()); // no response arrives
+  CHECK_TRUE(firstCommitter_.NextStoreCall(kNow, kWall)
+               .has_value()); // no response arrives
   firstCommitter_.OnTick(kNow + milliseconds(99));
   LONGS_EQUAL(0, firstCommitter_.TakeReplies().size());
   firstCommitter_.OnTick(kNow + milliseconds(100));
@@ -286,11 +291,11 @@
   TimePoint now = kNow;
   for (int failure = 0; failure < 50; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(firstCommitter_.NextIo(now, kWall).has_value());
+    CHECK_TRUE(firstCommitter_.NextStoreCall(now, kWall).has_value());
     firstCommitter_.OnFailed(RanState::kNo, now);
   }
   RunUntilIdle(firstCommitter_, store_, now + std::chrono::seconds(2));
-  CheckStatus(OnceVerdict::kReplay,
+  CheckStatus(OnceBeginStatus::kReplay,
               BeginAndCommit(secondCommitter_, store_, MakeIntent("k", "b")));
 }
 
@@ -298,22 +303,22 @@
 {
   OnceBucket bucket({ .maxBytes_ = 1000 });
   int begun = 0;
-  OnceVerdict last = OnceVerdict::kBegun;
-  for (int key = 0; key < 100 && last == OnceVerdict::kBegun; ++key) {
+  OnceBeginStatus last = OnceBeginStatus::kBegun;
+  for (int key = 0; key < 100 && last == OnceBeginStatus::kBegun; ++key) {
     const std::string name = std::to_string(key);
-    last = bucket.Begin(MakeIntent(name, "n"), kWall).verdict_;
+    last = bucket.Begin(MakeIntent(name, "n"), kWall).beginStatus_;
     bucket.Finish(name,
                   "n",
                   OnceState::kDone,
                   std::string(300, 'r'),
                   kWall + milliseconds(key));
-    begun += last == OnceVerdict::kBegun ? 1 : 0;
+    begun += last == OnceBeginStatus::kBegun ? 1 : 0;
   }
-  CheckStatus(OnceVerdict::kFull, last);
+  CheckStatus(OnceBeginStatus::kBucketFull, last);
   CHECK_TRUE(begun > 5); // more records than fit with their results
   LONGS_EQUAL(begun, bucket.Size());
-  CheckStatus(OnceVerdict::kResultDropped,
-              bucket.Begin(MakeIntent("0", "x"), kWall).verdict_);
+  CheckStatus(OnceBeginStatus::kResultDropped,
+              bucket.Begin(MakeIntent("0", "x"), kWall).beginStatus_);
 }
 
 TEST(OnceTest, RemovesRecordsOnlyAfterTheRetention)
@@ -361,7 +366,7 @@
     } else if (callsInFlight_[host]) {
       CompleteCall(host);
     } else {
-      callsInFlight_[host] = hosts_[host].NextIo(now_, kWall);
+      callsInFlight_[host] = hosts_[host].NextStoreCall(now_, kWall);
     }
     TakeReplies(host);
   }
@@ -393,7 +398,8 @@
 
   void CompleteCall(std::size_t aHost)
   {
-    const OnceIo call = *std::exchange(callsInFlight_[aHost], std::nullopt);
+    const OnceStoreCall call =
+      *std::exchange(callsInFlight_[aHost], std::nullopt);
     const std::uint64_t fault = RandomBelow(10);
     if (!delayedWrites_.empty() && RandomBelow(5) == 0) {
       store_.Write(delayedWrites_.back());
@@ -401,7 +407,7 @@
     }
     if (fault == 0) {
       hosts_[aHost].OnFailed(RanState::kNo, now_);
-    } else if (fault <= 2 && call.kind_ != OnceIoKind::kRead) {
+    } else if (fault <= 2 && call.kind_ != OnceStoreCallKind::kRead) {
       if (fault == 1) {
         store_.Write(call); // succeeds, but the response is lost
       } else {
@@ -424,7 +430,7 @@
       attempts_[aHost].erase(found);
       if (!reply.committed_) {
         ++refused_[op.intent_.key_];
-      } else if (reply.decision_.verdict_ == OnceVerdict::kBegun) {
+      } else if (reply.beginResult_.beginStatus_ == OnceBeginStatus::kBegun) {
         FinishAttempt(aHost, op);
       }
     }
@@ -441,9 +447,9 @@
 
   std::mt19937_64 random_;
   std::vector<OnceCommitter> hosts_;
-  std::vector<std::optional<OnceIo>> callsInFlight_;
+  std::vector<std::optional<OnceStoreCall>> callsInFlight_;
   std::vector<std::map<std::uint64_t, OnceOp>> attempts_;
-  std::vector<OnceIo> delayedWrites_;
+  std::vector<OnceStoreCall> delayedWrites_;
   SingleObjectStore store_;
   TimePoint now_ = kNow;
   std::uint64_t lastNonce_ = 0;
