--- a/src/clients/gooseberrylift-member-list.cc
+++ b/src/clients/gooseberrylift-member-list.cc
@@ -153,8 +153,7 @@
     }
   }
   co_return MakeError(ResultCode::kStoreConflict,
-                      "cannot register in the member list of zone " +
-                        aSelf.zone_);
+                      "cannot register in the member list of this host's zone");
 }
 
 } // namespace gooseberrylift
--- a/src/clients/gooseberrylift-peer-rpc.cc
+++ b/src/clients/gooseberrylift-peer-rpc.cc
@@ -149,7 +149,7 @@
   std::string text;
   if (!ParseJsonRpcResponse(response.value().body_, text)) {
     co_return PeerError(ResultCode::kPeerRefused,
-                        aTarget.host_ + ": not a JSON-RPC result");
+                        "the peer's response is not a JSON-RPC result");
   }
   const json reply = json::parse(text, nullptr, false);
   const bool matches = reply.is_object() &&
