--- a/bench/slopes/gooseberrylift-core-slopes.cc
+++ b/bench/slopes/gooseberrylift-core-slopes.cc
@@ -169,17 +169,17 @@
     });
 }
 
-// Fills a ledger with one request of each of so many teams.
-void FillLedger(BurnCounters& aLedger, int aTeams)
+// Fills the counters with one request of each of so many teams.
+void FillCounters(BurnCounters& aCounters, int aTeams)
 {
   const ServiceObjective objective;
   for (int team = 0; team < aTeams; ++team) {
-    aLedger.Record({ .team_ = "team-" + std::to_string(team),
-                     .service_ = "model-1",
-                     .promptTokens_ = 1000,
-                     .succeeded_ = true },
-                   objective,
-                   TimePoint{});
+    aCounters.Record({ .team_ = "team-" + std::to_string(team),
+                       .service_ = "model-1",
+                       .promptTokens_ = 1000,
+                       .succeeded_ = true },
+                     objective,
+                     TimePoint{});
   }
 }
 
@@ -188,29 +188,29 @@
   const std::vector<double> sizes{ 250, 1000, 4000 };
   Measure("burn counts in memory", "team", "bytes", sizes, [](double aTeams) {
     const double before = HeapBytes();
-    BurnCounters ledger({ .maxSeries_ = 5000 });
-    FillLedger(ledger, static_cast<int>(aTeams));
+    BurnCounters counters({ .maxSeries_ = 5000 });
+    FillCounters(counters, static_cast<int>(aTeams));
     return HeapBytes() - before;
   });
   Measure(
     "burn report of one host, text", "team", "bytes", sizes, [](double aTeams) {
-      BurnCounters ledger({ .maxSeries_ = 5000 });
-      FillLedger(ledger, static_cast<int>(aTeams));
+      BurnCounters counters({ .maxSeries_ = 5000 });
+      FillCounters(counters, static_cast<int>(aTeams));
       const BurnDocument document{ .hosts_ = { "host" },
-                                   .tally_ = ledger.Tally(TimePoint{}) };
+                                   .tally_ = counters.Tally(TimePoint{}) };
       return static_cast<double>(SerializeBurnDocument(document).size());
     });
   Measure("counting one request", "team", "us", sizes, [](double aTeams) {
-    BurnCounters ledger({ .maxSeries_ = 5000 });
-    FillLedger(ledger, static_cast<int>(aTeams));
+    BurnCounters counters({ .maxSeries_ = 5000 });
+    FillCounters(counters, static_cast<int>(aTeams));
     const BurnSample sample{ .team_ = "team-7", .service_ = "model-1" };
     return MicrosecondsOf(
-      [&] { ledger.Record(sample, ServiceObjective{}, TimePoint{}); });
+      [&] { counters.Record(sample, ServiceObjective{}, TimePoint{}); });
   });
   Measure("merging one host's report", "team", "us", sizes, [](double aTeams) {
-    BurnCounters ledger({ .maxSeries_ = 5000 });
-    FillLedger(ledger, static_cast<int>(aTeams));
-    const BurnTally tally = ledger.Tally(TimePoint{});
+    BurnCounters counters({ .maxSeries_ = 5000 });
+    FillCounters(counters, static_cast<int>(aTeams));
+    const BurnTally tally = counters.Tally(TimePoint{});
     BurnTally merged;
     return MicrosecondsOf([&] { MergeTally(merged, tally); });
   });
--- a/include/gooseberrylift/gooseberrylift-burn.h
+++ b/include/gooseberrylift/gooseberrylift-burn.h
@@ -89,9 +89,9 @@
 // consists of whole slots and includes the current, incomplete one, so the
 // 5-minute window covers the last four to five minutes.
 //
-//   BurnCounters ledger({});
-//   ledger.Record(sample, objective, now);
-//   const BurnTally tally = ledger.Tally(now);
+//   BurnCounters counters({});
+//   counters.Record(sample, objective, now);
+//   const BurnTally tally = counters.Tally(now);
 //
 // Not thread-safe; the runtime keeps one instance per shard.
 class BurnCounters
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -74,7 +74,7 @@
     PoisonRequestMonitor& poisonRequestMonitor_;
     EndpointRateLimiter& limiter_;
     boost::asio::any_io_executor executor_;
-    LoadExchange& words_; // sends load messages to the other hosts
+    LoadExchange& loadExchange_; // sends load messages to the other hosts
   };
 
   RequestRun(Parts aParts, HttpExchange& aExchange, RoutedRequest aRequest);
@@ -113,7 +113,7 @@
   std::optional<std::chrono::milliseconds> DelayForMemory();
   std::optional<std::chrono::milliseconds> DelayForPermit();
   Error MakeNoEndpointError();
-  HoldInput MakeHoldInput(const EngineProfile& aFigures,
+  HoldInput MakeHoldInput(const EngineProfile& aProfile,
                           std::chrono::microseconds aWait) const;
   const EngineProfile* FindEngineProfile() const;
   FleetQuery MakeQuery() const;
--- a/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
+++ b/include/gooseberrylift/membership/gooseberrylift-peer-groups.h
@@ -33,7 +33,7 @@
 // The other hosts, grouped by how this host communicates with them.
 struct PeerGroups
 {
-  LoadMessagePeers words_;
+  LoadMessagePeers loadMessagePeers_;
   std::set<std::string> zoneHosts_; // names of the hosts of the own zone
   // Live hosts to exchange store status with. In a small fleet all of them are
   // near, in a large one those of the own zone.
--- a/include/gooseberrylift/membership/gooseberrylift-store-read-schedule.h
+++ b/include/gooseberrylift/membership/gooseberrylift-store-read-schedule.h
@@ -101,9 +101,10 @@
 
   /// Returns the time until this host is to read; zero or less if it is due.
   /// @param aAge of the latest read known; nothing without one
-  std::chrono::milliseconds DueIn(TimePoint aNow,
-                                  std::optional<std::chrono::milliseconds> aAge,
-                                  const ReaderRank& aRank) const;
+  std::chrono::milliseconds TimeUntilDue(
+    TimePoint aNow,
+    std::optional<std::chrono::milliseconds> aAge,
+    const ReaderRank& aRank) const;
 
   /// Delays the next attempt until a time.
   void DelayUntil(TimePoint aUntil) { nextAttempt_ = aUntil; }
--- a/src/core/membership/gooseberrylift-peer-groups.cc
+++ b/src/core/membership/gooseberrylift-peer-groups.cc
@@ -55,7 +55,7 @@
       groups.zoneHosts_.insert(member.host_);
     }
     if (isSmallFleet || isInZone) {
-      groups.words_.near_.push_back(member.address_);
+      groups.loadMessagePeers_.near_.push_back(member.address_);
     }
   }
   for (const Digest& digest : aPeers.live_) {
@@ -63,10 +63,11 @@
     (isNear ? groups.near_ : groups.far_)
       .push_back({ .host_ = digest.host_, .address_ = digest.peerAddress_ });
     if (!isNear && !digest.draining_) {
-      groups.words_.far_[digest.zone_].push_back(digest.peerAddress_);
+      groups.loadMessagePeers_.far_[digest.zone_].push_back(
+        digest.peerAddress_);
     }
   }
-  RankInZone(aPeers, groups.words_);
+  RankInZone(aPeers, groups.loadMessagePeers_);
   return groups;
 }
 
--- a/src/core/membership/gooseberrylift-store-read-schedule.cc
+++ b/src/core/membership/gooseberrylift-store-read-schedule.cc
@@ -74,9 +74,9 @@
          aNow - *lastRead_ < kActiveReaderIntervals * options_.interval_;
 }
 
-milliseconds StoreReadSchedule::DueIn(TimePoint aNow,
-                                      std::optional<milliseconds> aAge,
-                                      const ReaderRank& aRank) const
+milliseconds StoreReadSchedule::TimeUntilDue(TimePoint aNow,
+                                             std::optional<milliseconds> aAge,
+                                             const ReaderRank& aRank) const
 {
   const auto delay = ceil<milliseconds>(nextAttempt_ - aNow);
   if (!aAge) {
--- a/src/core/membership/gooseberrylift-store-status-message.cc
+++ b/src/core/membership/gooseberrylift-store-status-message.cc
@@ -15,15 +15,15 @@
 
 std::string EncodeStoreStatusMessage(const StoreStatusMessage& aMessage)
 {
-  const StoreStatus& headline = aMessage.storeStatus_;
-  const json message = json::array(
-    { aMessage.host_,
-      aMessage.requestId_,
-      aMessage.isResponse_,
-      headline.routes_,
-      headline.endpoints_,
-      headline.proofAge_ ? headline.proofAge_->count() : kNoProofAge,
-      headline.evacuations_ });
+  const StoreStatus& status = aMessage.storeStatus_;
+  const json message =
+    json::array({ aMessage.host_,
+                  aMessage.requestId_,
+                  aMessage.isResponse_,
+                  status.routes_,
+                  status.endpoints_,
+                  status.proofAge_ ? status.proofAge_->count() : kNoProofAge,
+                  status.evacuations_ });
   std::string bytes;
   json::to_cbor(message, bytes);
   return bytes;
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -280,7 +280,7 @@
     }
   }
   use.End(done ? EndpointOutcome::kServed : OutcomeOf(done.error()));
-  parts_.words_.OnRequestEnded();
+  parts_.loadExchange_.OnRequestEnded();
   co_return done;
 }
 
@@ -290,7 +290,7 @@
 {
   std::vector<ListedEndpoint> endpoints = aPlacement.helpers_;
   endpoints.push_back(aPlacement.endpoint_);
-  parts_.words_.OnRequestPlaced(
+  parts_.loadExchange_.OnRequestPlaced(
     endpoints, aPlacement.cost_.prefill_ > kMinAnnouncedPrefill);
 }
 
--- a/src/gateway/gooseberrylift-request-waiting.cc
+++ b/src/gateway/gooseberrylift-request-waiting.cc
@@ -30,12 +30,12 @@
 
 } // namespace
 
-HoldInput RequestRun::MakeHoldInput(const EngineProfile& aFigures,
+HoldInput RequestRun::MakeHoldInput(const EngineProfile& aProfile,
                                     microseconds aWait) const
 {
   const TimePoint now = TimerService::Now();
   return { .wait_ = aWait,
-           .prefill_ = aFigures.PrefillTime(request_.facts_.promptTokens_),
+           .prefill_ = aProfile.PrefillTime(request_.facts_.promptTokens_),
            .sinceArrival_ =
              duration_cast<milliseconds>(now - request_.arrived_),
            .remaining_ = RemainingTime(),
@@ -47,11 +47,11 @@
 // checked again, or rejected.
 HoldDecision RequestRun::DecideHold(const FleetPlacement& aPlacement) const
 {
-  const EngineProfile* figures = FindEngineProfile();
-  if (!aPlacement.slowsDecoding_ || sends_ > 0 || figures == nullptr) {
+  const EngineProfile* profile = FindEngineProfile();
+  if (!aPlacement.slowsDecoding_ || sends_ > 0 || profile == nullptr) {
     return HoldDecision::kSend;
   }
-  HoldInput input = MakeHoldInput(*figures, aPlacement.wait_);
+  HoldInput input = MakeHoldInput(*profile, aPlacement.wait_);
   input.peerLoadUnknown_ = aPlacement.peerLoadUnknown_;
   input.partialPrefill_ = aPlacement.cost_.prefill_;
   return DecideLongPromptHold(input, HoldOptions{});
@@ -63,20 +63,20 @@
 // of the service's engines can hold the prompt.
 std::optional<milliseconds> RequestRun::DelayForMemory()
 {
-  const EngineProfile* figures = FindEngineProfile();
-  if (sends_ > 0 || figures == nullptr) {
+  const EngineProfile* profile = FindEngineProfile();
+  if (sends_ > 0 || profile == nullptr) {
     return std::nullopt;
   }
   const std::uint64_t needed =
     request_.facts_.promptTokens_ + request_.facts_.answerTokens_;
   const std::uint64_t capacity =
-    parts_.fleet_.CountUsable(request_.service_) * figures->memoryTokens_;
+    parts_.fleet_.CountUsable(request_.service_) * profile->memoryTokens_;
   if (needed > capacity) {
     return std::nullopt;
   }
   const HoldOptions options{ .maxHoldShare_ = kMaxMemoryWaitShare };
   const HoldDecision decision =
-    DecideLongPromptHold(MakeHoldInput(*figures, microseconds::max()), options);
+    DecideLongPromptHold(MakeHoldInput(*profile, microseconds::max()), options);
   return decision == HoldDecision::kHold
            ? std::optional(options.recheckInterval_)
            : std::nullopt;
--- a/src/gateway/gooseberrylift-store-follower.cc
+++ b/src/gateway/gooseberrylift-store-follower.cc
@@ -110,8 +110,8 @@
     co_await ReadAllowStale();
   }
   while (true) {
-    const milliseconds due =
-      readSchedule_.DueIn(TimerService::Now(), ProofAge(), parts_.rank_());
+    const milliseconds due = readSchedule_.TimeUntilDue(
+      TimerService::Now(), ProofAge(), parts_.rank_());
     if (due <= milliseconds(0)) {
       co_await Read();
       continue;
--- a/src/host/gooseberrylift-gateway-host.cc
+++ b/src/host/gooseberrylift-gateway-host.cc
@@ -150,7 +150,7 @@
                        .poisonRequestMonitor_ = poisonRequestMonitor_,
                        .limiter_ = limiter_,
                        .executor_ = context_.get_executor(),
-                       .words_ = loadExchange_ } })
+                       .loadExchange_ = loadExchange_ } })
   , callerServer_(
       context_.get_executor(),
       { .address_ = settings_.caller_.address_,
@@ -219,7 +219,7 @@
                              .known_ = peers_.Known(),
                              .live_ = aPeers.digests_,
                              .fleet_ = aPeers.known_ });
-  loadExchange_.SetPeers(peerGroups_.words_);
+  loadExchange_.SetPeers(peerGroups_.loadMessagePeers_);
   peersHaveProvenKeys_ = proven;
   if (settings_.gateway_->relaysStore_) { // otherwise it ranks as the only host
     rank_ = RankAmong({ .host_ = settings_.hostName_,
--- a/test/core/gooseberrylift-peer-groups-test.cc
+++ b/test/core/gooseberrylift-peer-groups-test.cc
@@ -33,8 +33,8 @@
 {
   SetHosts(23);
   const PeerGroups groups = GroupPeers(peers_);
-  LONGS_EQUAL(22, groups.words_.near_.size());
-  CHECK_TRUE(groups.words_.far_.empty());
+  LONGS_EQUAL(22, groups.loadMessagePeers_.near_.size());
+  CHECK_TRUE(groups.loadMessagePeers_.far_.empty());
   LONGS_EQUAL(4, groups.zoneHosts_.size());
   LONGS_EQUAL(3, SamplePeers(groups, random_).size());
 }
@@ -43,10 +43,12 @@
 {
   SetHosts(100);
   const PeerGroups groups = GroupPeers(peers_);
-  LONGS_EQUAL(19, groups.words_.near_.size());
-  LONGS_EQUAL(4, groups.words_.far_.size());
-  LONGS_EQUAL(20, groups.words_.far_.at("zone-3").size());
-  CHECK_TRUE(groups.words_.rank_ + groups.words_.successors_.size() <= 19);
+  LONGS_EQUAL(19, groups.loadMessagePeers_.near_.size());
+  LONGS_EQUAL(4, groups.loadMessagePeers_.far_.size());
+  LONGS_EQUAL(20, groups.loadMessagePeers_.far_.at("zone-3").size());
+  CHECK_TRUE(groups.loadMessagePeers_.rank_ +
+               groups.loadMessagePeers_.successors_.size() <=
+             19);
   const std::vector<PeerMember> sample = SamplePeers(groups, random_);
   LONGS_EQUAL(2, sample.size());
   CHECK_TRUE(groups.zoneHosts_.contains(sample.front().host_));
@@ -61,8 +63,8 @@
     digest.draining_ = true;
   }
   const PeerGroups groups = GroupPeers(peers_);
-  CHECK_TRUE(groups.words_.far_.empty());
-  CHECK_TRUE(groups.words_.successors_.empty());
-  LONGS_EQUAL(0, groups.words_.rank_);
+  CHECK_TRUE(groups.loadMessagePeers_.far_.empty());
+  CHECK_TRUE(groups.loadMessagePeers_.successors_.empty());
+  LONGS_EQUAL(0, groups.loadMessagePeers_.rank_);
   LONGS_EQUAL(0, RankAmong({ .host_ = "host-0" }, peers_.live_).rank_);
 }
--- a/test/core/gooseberrylift-store-read-schedule-test.cc
+++ b/test/core/gooseberrylift-store-read-schedule-test.cc
@@ -21,7 +21,7 @@
   milliseconds TimeUntilDue(std::optional<milliseconds> aAge,
                             const ReaderRank& aRank)
   {
-    return schedule_.DueIn(now_, aAge, aRank);
+    return schedule_.TimeUntilDue(now_, aAge, aRank);
   }
 };
 
@@ -97,7 +97,7 @@
   CHECK_TRUE(TimeUntilDue(9s, first) <= 500ms);
   StoreReadSchedule other{ StoreReadSchedule::Options{} };
   other.OnFailed(now_, last);
-  CHECK_TRUE(other.DueIn(now_, 9s, last) >= 60s);
+  CHECK_TRUE(other.TimeUntilDue(now_, 9s, last) >= 60s);
   CHECK_TRUE(schedule_.IsStoreUnavailable());
   schedule_.OnRead(now_);
   CHECK_FALSE(schedule_.IsStoreUnavailable());
@@ -184,7 +184,7 @@
     SimulatedHost& host = hosts_[aHost];
     const ReaderRank rank = RankOf(aHost);
     if (!host.isRunning_ ||
-        host.schedule_.DueIn(now_, AgeOf(host), rank) > 0ms) {
+        host.schedule_.TimeUntilDue(now_, AgeOf(host), rank) > 0ms) {
       return;
     }
     ++storeCalls_;
