--- a/include/gooseberrylift/internal/gooseberrylift-admin-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-admin-front.h
@@ -1,4 +1,5 @@
-// The port that operators, the balancer and the metrics collector use.
+// HTTP handler of the admin port, used by operators, the load balancer and the
+// metrics collector.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
@@ -16,12 +17,13 @@
 
 namespace gooseberrylift {
 
-// Routes of the admin port. Parts add their own before the server starts:
+// Dispatches the requests of the admin port. Other components add their routes
+// before the server starts:
 //
 //   admin.Add("GET", "/report/burn", [&](HttpExchange& aExchange) { ... });
 //
-// /healthz and /readyz are open; all else needs one of the admin keys, if the
-// settings name any.
+// /healthz and /readyz need no authentication. All other routes require one of
+// the admin keys, if the settings define any.
 class AdminFront
 {
 public:
@@ -35,7 +37,7 @@
 
   explicit AdminFront(Parts aParts);
 
-  /// Adds a route; only before the first request.
+  /// Adds a route. Must not be called after the first request.
   void Add(const std::string& aMethod,
            const std::string& aPath,
            HttpHandler aHandler);
@@ -43,9 +45,9 @@
   /// Handles one request of the HTTP server.
   boost::asio::awaitable<void> Handle(HttpExchange& aExchange);
 
-  /// Says whether the host can take callers' requests, and if not, why.
-  /// @return empty when it is ready
-  std::string WhyNotReady() const;
+  /// Returns the reason why the host cannot accept callers' requests.
+  /// @return the reason; empty when the host is ready
+  std::string NotReadyReason() const;
 
 private:
   bool IsAllowed(const HttpRequest& aRequest) const;
--- a/include/gooseberrylift/internal/gooseberrylift-caller-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-caller-front.h
@@ -1,4 +1,4 @@
-// The port that callers use: model requests and plain services.
+// HTTP handler of the caller port: model requests, plain services and jobs.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
@@ -16,25 +16,26 @@
 
 namespace gooseberrylift {
 
-// What the burn report is to know of a request; filled on its way.
-struct BurnNote
+// What the burn report records about a request; filled in while the request is
+// handled.
+struct BurnObservation
 {
-  const ServiceConfig* service_ = nullptr; // null until it is known
+  const ServiceConfig* service_ = nullptr; // null until it is resolved
   BurnSample sample_;
 };
 
-// What the handlers of one request share.
-struct CallerRequest
+// State that the handlers of one request share.
+struct RequestContext
 {
   std::string id_;
   TimePoint arrived_;
   Configuration::Ptr configuration_;
   const TeamConfig* team_ = nullptr;
-  BurnNote* burn_ = nullptr; // lives as long as the request
+  BurnObservation* burn_ = nullptr; // outlives the request
 };
 
-// Answers every request exactly once: whole, as a stream, or with a numbered
-// error. Holds no state between requests; safe from any thread.
+// Answers every request exactly once: with a complete response, a stream, or an
+// error with its result code. Keeps no state between requests; thread-safe.
 class CallerFront
 {
 public:
@@ -56,28 +57,29 @@
 
 private:
   using Handler = boost::asio::awaitable<Outcome<void>> (
-    CallerFront::*)(HttpExchange& aExchange, const CallerRequest& aRequest);
+    CallerFront::*)(HttpExchange& aExchange, const RequestContext& aRequest);
   struct Route;
   static const Route kRoutes[];
 
   boost::asio::awaitable<Outcome<void>> Dispatch(HttpExchange& aExchange,
-                                                 CallerRequest& aRequest);
+                                                 RequestContext& aRequest);
   boost::asio::awaitable<Outcome<void>> HandleModel(
     HttpExchange& aExchange,
-    const CallerRequest& aRequest);
+    const RequestContext& aRequest);
   boost::asio::awaitable<Outcome<void>> HandleService(
     HttpExchange& aExchange,
-    const CallerRequest& aRequest);
+    const RequestContext& aRequest);
   boost::asio::awaitable<Outcome<void>> HandleJobs(
     HttpExchange& aExchange,
-    const CallerRequest& aRequest);
-  boost::asio::awaitable<Outcome<void>> HandleOnce(HttpExchange& aExchange,
-                                                   ServiceCall aCall,
-                                                   std::string aKey);
-  void RecordBurn(const CallerRequest& aRequest, ResultCode aCode);
-  boost::asio::awaitable<void> AnswerFailure(HttpExchange& aExchange,
-                                             const CallerRequest& aRequest,
-                                             Error aError);
+    const RequestContext& aRequest);
+  boost::asio::awaitable<Outcome<void>> HandleIdempotent(
+    HttpExchange& aExchange,
+    ServiceCall aCall,
+    std::string aKey);
+  void RecordBurn(const RequestContext& aRequest, ResultCode aCode);
+  boost::asio::awaitable<void> SendFailure(HttpExchange& aExchange,
+                                           const RequestContext& aRequest,
+                                           Error aError);
 
   Parts parts_;
 };
--- a/include/gooseberrylift/internal/gooseberrylift-config-admin.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-admin.h
@@ -1,5 +1,5 @@
-// Takes operators' changes of configuration on the admin port and makes them
-// the next generation in the store.
+// Admin routes for the configuration. A change that an operator submits becomes
+// the next generation in the object store.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
@@ -14,26 +14,28 @@
 
 namespace gooseberrylift {
 
-// One object a generation that is no longer the newest; its bound is that of
-// StoredConfiguration::kMaxRecentChanges.
+// Kind of the objects that archive replaced generations, one object for each.
+// At most StoredConfiguration::kMaxRecentChanges of them are kept.
 constexpr const char* kHistoryKind = "configuration-history";
 
-// Routes: GET /configuration (in force here), POST /configuration?base=N,
+// Routes: GET /configuration (the one in use on this host),
+// POST /configuration?base=N,
 // GET /configuration/history, GET /configuration/generation?number=N,
-// GET /configuration/spread (which host has which generation).
+// GET /configuration/spread (the generation in use on each host).
 //
-// A change is accepted when its conditional update is known to have taken
-// effect; a lost answer is settled by reading the object back and looking for
-// the change's nonce. Once accepted it is in force on this host at once and
-// told to peers, so that it does not depend on the store any more.
+// A change is accepted once its conditional update is known to have taken
+// effect. When the store's response is lost, the object is read back and
+// searched for the change's nonce. An accepted change is applied on this host
+// at once and sent to peers, so that its distribution no longer depends on the
+// store.
 class ConfigAdmin
 {
 public:
   struct Options
   {
-    std::chrono::milliseconds timeout_{ 8000 }; // of one change, in all
+    std::chrono::milliseconds timeout_{ 8000 }; // total time for one change
     std::chrono::milliseconds callTimeout_{ 2000 };
-    std::chrono::milliseconds pause_{ 100 }; // between two tries to settle
+    std::chrono::milliseconds retryDelay_{ 100 }; // between store attempts
   };
 
   ConfigAdmin(ObjectStore& aStore,
@@ -45,31 +47,31 @@
   void AddRoutes(AdminFront& aFront);
 
 private:
-  boost::asio::awaitable<void> HandleShow(HttpExchange& aExchange);
+  boost::asio::awaitable<void> HandleCurrent(HttpExchange& aExchange);
   boost::asio::awaitable<void> HandleApply(HttpExchange& aExchange);
   boost::asio::awaitable<void> HandleHistory(HttpExchange& aExchange);
   boost::asio::awaitable<void> HandleGeneration(HttpExchange& aExchange);
-  boost::asio::awaitable<void> HandleSpread(HttpExchange& aExchange);
+  boost::asio::awaitable<void> HandleHostGenerations(HttpExchange& aExchange);
 
-  boost::asio::awaitable<Outcome<std::uint64_t>> Change(std::uint64_t aBase,
-                                                        std::string aText,
-                                                        std::string aAuthor);
+  boost::asio::awaitable<Outcome<std::uint64_t>>
+  ApplyChange(std::uint64_t aBase, std::string aText, std::string aAuthor);
   boost::asio::awaitable<Outcome<StoreObject>> ReadMain(TimePoint aDeadline);
-  boost::asio::awaitable<Outcome<void>> KeepOld(StoredConfiguration aOld,
-                                                TimePoint aDeadline);
-  boost::asio::awaitable<Outcome<void>> Write(StoreObject aObject,
-                                              std::string aNonce,
-                                              TimePoint aDeadline);
-  boost::asio::awaitable<Outcome<void>> Settle(std::string aNonce,
-                                               TimePoint aDeadline);
-  boost::asio::awaitable<void> DropOldest(std::uint64_t aGeneration,
-                                          TimePoint aDeadline);
-  boost::asio::awaitable<Outcome<nlohmann::json>> TextOf(
+  boost::asio::awaitable<Outcome<void>> ArchiveReplaced(
+    StoredConfiguration aReplaced,
+    TimePoint aDeadline);
+  boost::asio::awaitable<Outcome<void>> WriteWithRetry(StoreObject aObject,
+                                                       std::string aNonce,
+                                                       TimePoint aDeadline);
+  boost::asio::awaitable<Outcome<void>> ResolveConflict(std::string aNonce,
+                                                        TimePoint aDeadline);
+  boost::asio::awaitable<void> DeleteOldestArchived(std::uint64_t aGeneration,
+                                                    TimePoint aDeadline);
+  boost::asio::awaitable<Outcome<nlohmann::json>> ReadGeneration(
     std::uint64_t aGeneration,
     TimePoint aDeadline);
-  boost::asio::awaitable<Error> Conflict(std::uint64_t aBase,
-                                         TimePoint aDeadline);
-  std::uint64_t HighestKnown() const;
+  boost::asio::awaitable<Error> MakeConflictError(std::uint64_t aBase,
+                                                  TimePoint aDeadline);
+  std::uint64_t HighestKnownGeneration() const;
   TimePoint CallDeadline(TimePoint aDeadline) const;
 
   ObjectStore& store_;
--- a/include/gooseberrylift/internal/gooseberrylift-job-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-front.h
@@ -1,4 +1,4 @@
-// Callers' requests about jobs: add, look at, remove.
+// HTTP handler of the jobs API: create, read and delete jobs.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
@@ -17,19 +17,22 @@
 constexpr std::string_view kJobsPrefix = "/v1/jobs/";
 
 // POST /v1/jobs       {"url": "/v1/chat/completions", "body": {...}}; 202 once
-//                     the job is stored. With an Idempotency-Key the same
-//                     request sent again gives the same job.
-// GET /v1/jobs/{id}   state and, when it ended, result or reason
+//                     the job is stored. Repeating a request with the same
+//                     Idempotency-Key returns the same job.
+//
+// GET /v1/jobs/{id}   the job's state and, once it ended, its result or error
+//
 // DELETE /v1/jobs/{id}
-// Holds no state between requests; safe from any thread.
+//
+// Keeps no state between requests; thread-safe.
 class JobFront
 {
 public:
   struct Options
   {
-    std::chrono::milliseconds callTimeout_{ 2000 }; // for a look or a removal
+    std::chrono::milliseconds callTimeout_{ 2000 }; // for reads and deletions
     std::chrono::milliseconds storeTimeout_{ 10'000 }; // for storing a job
-    std::chrono::hours keepFor_{ 24 };
+    std::chrono::hours retention_{ 24 };
   };
 
   JobFront(ObjectStore& aStore, JobRunner& aRunner, Options aOptions);
@@ -48,8 +51,8 @@
                                                    std::string aText);
   boost::asio::awaitable<Outcome<StoredJob>> Find(std::string aId,
                                                   std::string aTeam);
-  boost::asio::awaitable<Outcome<HttpResponse>> Show(std::string aId,
-                                                     std::string aTeam);
+  boost::asio::awaitable<Outcome<HttpResponse>> Get(std::string aId,
+                                                    std::string aTeam);
   boost::asio::awaitable<Outcome<HttpResponse>> Remove(std::string aId,
                                                        std::string aTeam);
 
--- a/include/gooseberrylift/internal/gooseberrylift-log-routes.h
+++ b/include/gooseberrylift/internal/gooseberrylift-log-routes.h
@@ -1,4 +1,4 @@
-// Reads and changes the log levels through the admin port.
+// Admin routes that read and change the log levels.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOG_ROUTES_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOG_ROUTES_H_
@@ -7,8 +7,9 @@
 
 namespace gooseberrylift {
 
-/// Adds GET /log, which gives the level of each component, and
-/// POST /log?component=NAME&level=NAME, which sets one until the next restart.
+/// Adds GET /log, which returns the level of each component, and
+/// POST /log?component=NAME&level=NAME, which sets the level of a component, or
+/// of "all" of them, until the next restart.
 void AddLogRoutes(AdminFront& aFront);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-model-request.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-request.h
@@ -1,5 +1,5 @@
-// Reads the body of a model request and makes the body of a whole answer, in
-// the OpenAI style.
+// Parses the bodies of model requests and creates the bodies of responses that
+// are not streamed, in the format of the OpenAI API.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MODEL_REQUEST_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MODEL_REQUEST_H_
@@ -13,28 +13,28 @@
 
 namespace gooseberrylift {
 
-// A model request that passed its checks.
+// A validated model request.
 struct ModelRequest
 {
   std::string model_;
   bool chat_ = false;
   bool stream_ = false;
-  std::uint64_t promptTokens_ = 0; // estimated from the prompt's bytes
+  std::uint64_t promptTokens_ = 0; // estimated from the prompt's size
   std::uint64_t maxTokens_ = 0;
   std::uint64_t prefixHash_ = 0; // of the prompt's first kilobyte
   nlohmann::json body_;
 
-  // Whether fields can be added behind the last one of the body's text: none
-  // of them stands there already, and no name stands there twice.
-  bool textIsExtensible_ = false;
+  // Whether this host's own fields can be appended to the body's text: the text
+  // contains none of them and no duplicate key.
+  bool canAppendFields_ = false;
 };
 
-/// Checks and reads a request for a completion.
-/// @param aRequest the request, whose path says chat or plain
+/// Parses and validates a request for a completion.
+/// @param aRequest the request; its path selects chat or plain completion
 /// @return the request, or kMalformedJson or kBadField with the field's name
 Outcome<ModelRequest> ParseModelRequest(const HttpRequest& aRequest);
 
-/// Makes the body of an answer that was not streamed.
+/// Creates the body of a response that is not streamed.
 /// @return the JSON text
 std::string WholeModelAnswer(const ModelRequest& aRequest,
                              const std::string& aRequestId,
--- a/src/front/gooseberrylift-admin-front.cc
+++ b/src/front/gooseberrylift-admin-front.cc
@@ -14,8 +14,9 @@
 
 namespace {
 
-// Above a store's short fault and a peer's few lost rounds.
-constexpr std::chrono::seconds kIsolationLimit(5);
+// How long a host may be isolated before it is not ready. Longer than a brief
+// outage of the store and than a few lost rounds of the exchange with peers.
+constexpr std::chrono::seconds kIsolationTimeout(5);
 
 const char* NameOf(EndpointState aState)
 {
@@ -30,7 +31,7 @@
   return "dead";
 }
 
-json StatusOf(const EndpointView& aView)
+json ToJson(const EndpointView& aView)
 {
   return { { "name", aView.name_ },
            { "address", aView.address_ },
@@ -45,7 +46,7 @@
            { "kv_total", aView.load_.kvTokensTotal_ } };
 }
 
-json StatusOf(const Digest& aDigest)
+json ToJson(const Digest& aDigest)
 {
   return { { "host", aDigest.host_ },
            { "zone", aDigest.zone_ },
@@ -54,8 +55,9 @@
            { "draining", aDigest.draining_ } };
 }
 
-// Says why requests failed since the start, as counted for /metrics.
-json FailuresOf(const Metrics& aMetrics)
+// Returns the number of failed requests since the start by result code, as
+// counted for /metrics.
+json FailureCountsToJson(const Metrics& aMetrics)
 {
   const auto counts = aMetrics.Counts("gooseberrylift_requests_total");
   json failures = json::array();
@@ -123,14 +125,14 @@
   if (path != "/healthz" && path != "/readyz" && !IsAllowed(request)) {
     co_await aExchange.Send(ErrorResponse(
       MakeError(ResultCode::kUnknownTeamKey,
-                "Authorization: Bearer KEY with an admin key is needed"),
+                "Authorization: must be 'Bearer KEY' with an admin key"),
       {}));
     co_return;
   }
   co_await route->second(aExchange);
 }
 
-std::string AdminFront::WhyNotReady() const
+std::string AdminFront::NotReadyReason() const
 {
   if (parts_.board_.host_.Read()->draining_) {
     return "draining";
@@ -141,12 +143,13 @@
   if (parts_.board_.endpoints_.Read()->endpoints_.empty()) {
     return "no endpoint known yet";
   }
-  // A host that hears neither the store nor any other host it knew may go on
-  // with a configuration that was replaced elsewhere, and would never learn it.
+  // A host that reaches neither the store nor any peer that it knew may
+  // continue with a configuration that was replaced elsewhere, without ever
+  // noticing.
   const auto store = parts_.board_.store_.Read();
   const auto peers = parts_.board_.peers_.Read();
   if (!store->reachable_ && peers->known_ > 0 && peers->digests_.empty() &&
-      TimerService::Now() - store->since_ > kIsolationLimit) {
+      TimerService::Now() - store->since_ > kIsolationTimeout) {
     return "cut off from the store and all peers";
   }
   return {};
@@ -155,10 +158,11 @@
 bool AdminFront::IsAllowed(const HttpRequest& aRequest) const
 {
   if (parts_.settings_.adminKeys_.empty()) {
-    return true; // only on the loopback address, as the settings' check sees to
+    return true; // Settings allows this on the loopback address only
   }
   const std::string_view field = aRequest.Field("Authorization");
-  // Compared in constant time, so that a key can't be guessed byte by byte.
+  // Compared in constant time: the duration would otherwise reveal how many
+  // leading bytes of a guessed key are right.
   return std::any_of(
     parts_.settings_.adminKeys_.begin(),
     parts_.settings_.adminKeys_.end(),
@@ -171,7 +175,7 @@
 
 asio::awaitable<void> AdminFront::HandleReady(HttpExchange& aExchange)
 {
-  const std::string reason = WhyNotReady();
+  const std::string reason = NotReadyReason();
   const std::string text = reason.empty() ? "ready" : reason;
   co_await aExchange.Send(
     TextResponse(reason.empty() ? 200 : 503, text + "\n"));
@@ -183,7 +187,7 @@
     parts_.board_.configuration_.Read()->configuration_;
   json endpoints = json::array();
   for (const EndpointView& view : parts_.board_.endpoints_.Read()->endpoints_) {
-    endpoints.push_back(StatusOf(view));
+    endpoints.push_back(ToJson(view));
   }
   json pools = json::object();
   for (const auto& [name, load] : parts_.broker_.Loads()) {
@@ -192,17 +196,17 @@
   }
   json peers = json::array();
   for (const Digest& digest : parts_.board_.peers_.Read()->digests_) {
-    peers.push_back(StatusOf(digest));
+    peers.push_back(ToJson(digest));
   }
   const json status = {
     { "host", parts_.settings_.hostName_ },
     { "zone", parts_.settings_.zone_ },
-    { "ready", WhyNotReady().empty() },
-    { "why_not_ready", WhyNotReady() },
+    { "ready", NotReadyReason().empty() },
+    { "why_not_ready", NotReadyReason() },
     { "generation", configuration ? configuration->Generation() : 0 },
     { "store_reachable", parts_.board_.store_.Read()->reachable_ },
     { "peers", peers },
-    { "failures", FailuresOf(parts_.metrics_) },
+    { "failures", FailureCountsToJson(parts_.metrics_) },
     { "pools", pools },
     { "endpoints", endpoints },
   };
--- a/src/front/gooseberrylift-caller-front.cc
+++ b/src/front/gooseberrylift-caller-front.cc
@@ -22,7 +22,7 @@
 
 constexpr std::string_view kServicesPrefix = "/services/";
 constexpr milliseconds kMaxDeadline{ 86'400'000 };
-constexpr std::size_t kWholeBodyBytes = 256 * 1024;
+constexpr std::size_t kStreamingThresholdBytes = 256 * 1024;
 
 std::string MakeRequestId()
 {
@@ -30,16 +30,17 @@
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string id(32, '0');
   std::uint64_t bits = 0;
-  for (std::size_t place = 0; place < id.size(); ++place) {
-    bits = place % 16 == 0 ? sGenerator() : bits >> 4;
-    id[place] = kDigits[bits & 0xf];
+  for (std::size_t digit = 0; digit < id.size(); ++digit) {
+    bits = digit % 16 == 0 ? sGenerator() : bits >> 4;
+    id[digit] = kDigits[bits & 0xf];
   }
   return id;
 }
 
-// Reads X-Deadline-Ms; the service's own deadline when the caller gave none.
-Outcome<milliseconds> DeadlineOf(const HttpRequest& aRequest,
-                                 const ServiceConfig& aService)
+// Returns the value of X-Deadline-Ms, or the service's default deadline when
+// the field is absent.
+Outcome<milliseconds> ParseDeadline(const HttpRequest& aRequest,
+                                    const ServiceConfig& aService)
 {
   const std::string_view text = aRequest.Field("X-Deadline-Ms");
   if (text.empty()) {
@@ -51,13 +52,13 @@
   if (code != std::errc() || end != text.data() + text.size() || value <= 0 ||
       value > kMaxDeadline.count()) {
     return Error{ .code_ = ResultCode::kBadField,
-                  .text_ = "X-Deadline-Ms: a number of milliseconds from 1 to "
-                           "86400000 is needed" };
+                  .text_ = "X-Deadline-Ms: must be a whole number of "
+                           "milliseconds from 1 to 86400000" };
   }
   return milliseconds(value);
 }
 
-HttpResponse EventStreamHead(const std::string& aRequestId)
+HttpResponse MakeEventStreamResponse(const std::string& aRequestId)
 {
   return { .status_ = 200,
            .fields_ = { { "Content-Type", "text/event-stream" },
@@ -65,9 +66,9 @@
                         { "X-Request-Id", aRequestId } } };
 }
 
-void NoteService(const CallerRequest& aRequest,
-                 const ServiceConfig& aService,
-                 std::uint64_t aPromptTokens)
+void SetBurnService(const RequestContext& aRequest,
+                    const ServiceConfig& aService,
+                    std::uint64_t aPromptTokens)
 {
   *aRequest.burn_ = { .service_ = &aService,
                       .sample_ = { .team_ = aRequest.team_->name_,
@@ -75,7 +76,7 @@
                                    .promptTokens_ = aPromptTokens } };
 }
 
-void NoteFirstToken(const CallerRequest& aRequest)
+void RecordFirstToken(const RequestContext& aRequest)
 {
   auto& firstToken = aRequest.burn_->sample_.firstToken_;
   if (!firstToken) {
@@ -84,13 +85,13 @@
   }
 }
 
-// Says when to come back after a failure of this side, unless the call may have
-// run and must not be repeated. The times are spread, so that the callers of
-// one failed endpoint do not return in one moment.
+// Adds Retry-After to a server-side failure (502 to 504), unless the call may
+// have been executed and is not safe to repeat. The delay is random, so that
+// the callers of one failed endpoint do not all retry at the same moment.
 void AddRetryAfter(const HttpRequest& aRequest, Error& aError)
 {
-  constexpr int kLeastMs = 500;
-  constexpr int kMostMs = 2000;
+  constexpr int kMinDelayMs = 500;
+  constexpr int kMaxDelayMs = 2000;
   const int status = InfoOf(aError.code_).httpStatus_;
   const bool mayRepeat =
     aError.ran_ == RanState::kNo || aRequest.Path().ends_with("/completions");
@@ -98,15 +99,15 @@
     return;
   }
   thread_local std::mt19937 sGenerator{ std::random_device{}() };
-  std::uniform_int_distribution<int> spread(kLeastMs, kMostMs);
-  aError.retryAfter_ = milliseconds(spread(sGenerator));
+  std::uniform_int_distribution<int> delay(kMinDelayMs, kMaxDelayMs);
+  aError.retryAfter_ = milliseconds(delay(sGenerator));
 }
 
-// Passes each event on as it comes.
+// Streams the events to the caller as they arrive.
 class StreamSink : public TokenSink
 {
 public:
-  StreamSink(HttpExchange& aExchange, const CallerRequest& aRequest)
+  StreamSink(HttpExchange& aExchange, const RequestContext& aRequest)
     : exchange_(aExchange)
     , request_(aRequest)
   {
@@ -114,31 +115,32 @@
 
   asio::awaitable<bool> OnToken(const TokenEvent& aToken) override
   {
-    NoteFirstToken(request_);
-    events_ += "data: ";
-    events_ += aToken.raw_;
-    events_ += "\n\n";
+    RecordFirstToken(request_);
+    pendingEvents_ += "data: ";
+    pendingEvents_ += aToken.raw_;
+    pendingEvents_ += "\n\n";
     co_return true;
   }
 
-  // Tokens that came in one piece leave in one write; none waits for the next
-  // piece. Those of a piece that turned out faulty stay for the next attempt's.
+  // Writes the tokens of one received chunk in a single write, without waiting
+  // for the next chunk. Tokens of a chunk that turned out to be faulty stay
+  // buffered and are written with those of the next attempt.
   asio::awaitable<bool> OnPause() override
   {
-    if (events_.empty()) {
+    if (pendingEvents_.empty()) {
       co_return true;
     }
     const bool open = co_await Open();
     if (!open) {
       co_return false;
     }
-    const std::string events = std::exchange(events_, {});
+    const std::string events = std::exchange(pendingEvents_, {});
     co_return co_await exchange_.Write(events);
   }
 
   asio::awaitable<void> Finish()
   {
-    events_ += "data: [DONE]\n\n";
+    pendingEvents_ += "data: [DONE]\n\n";
     const bool sent = co_await OnPause();
     if (sent) {
       co_await exchange_.Finish();
@@ -151,26 +153,27 @@
     if (exchange_.Started()) {
       co_return true;
     }
-    co_return co_await exchange_.StartStream(EventStreamHead(request_.id_));
+    co_return co_await exchange_.StartStream(
+      MakeEventStreamResponse(request_.id_));
   }
 
   HttpExchange& exchange_;
-  const CallerRequest& request_;
-  std::string events_; // not written yet
+  const RequestContext& request_;
+  std::string pendingEvents_; // not written to the caller yet
 };
 
-// Gathers the whole answer.
-class CollectSink : public TokenSink
+// Buffers the complete answer for a response that is not streamed.
+class BufferingSink : public TokenSink
 {
 public:
-  explicit CollectSink(const CallerRequest& aRequest)
+  explicit BufferingSink(const RequestContext& aRequest)
     : request_(aRequest)
   {
   }
 
   asio::awaitable<bool> OnToken(const TokenEvent& aToken) override
   {
-    NoteFirstToken(request_);
+    RecordFirstToken(request_);
     text_ += aToken.text_;
     finishReason_ = aToken.finishReason_;
     co_return true;
@@ -180,17 +183,19 @@
   std::string finishReason_;
 
 private:
-  const CallerRequest& request_;
+  const RequestContext& request_;
 };
 
-// Sends an endpoint's answer on: whole while it is small, piece by piece when
-// it is not, so that memory stays bounded. A body cut by the endpoint ends as
-// a cut stream or as an error, never as a short success.
-asio::awaitable<Outcome<void>> PassOn(HttpExchange& aExchange,
-                                      HttpCall& aCall,
-                                      const std::string& aRequestId)
+// Forwards an endpoint's response. A small body is buffered and sent at once;
+// one of kStreamingThresholdBytes or more is streamed, so that memory stays
+// bounded. A body that the endpoint truncated ends as a truncated stream or as
+// an error, never as a shorter successful response.
+asio::awaitable<Outcome<void>> ForwardResponse(HttpExchange& aExchange,
+                                               HttpCall& aCall,
+                                               const std::string& aRequestId)
 {
-  // A body that only the close ends looks whole wherever it was cut.
+  // Without a length or chunked framing, only the close of the connection ends
+  // the body, so a truncated one cannot be told from a complete one.
   if (!aCall.EndIsCertain()) {
     co_return Error{ .code_ = ResultCode::kAnswerEndUnknown,
                      .ran_ = RanState::kYes };
@@ -199,26 +204,26 @@
                      .fields_ = WithoutOwnFields(aCall.Head().fields_) };
   head.fields_.push_back({ "X-Request-Id", aRequestId });
   while (true) {
-    auto piece = co_await aCall.ReadSome();
-    if (!piece) {
-      co_return piece.error();
+    auto chunk = co_await aCall.ReadSome();
+    if (!chunk) {
+      co_return chunk.error();
     }
-    if (!piece.value()) {
+    if (!chunk.value()) {
       break;
     }
     if (aExchange.Started()) {
-      const bool written = co_await aExchange.Write(*piece.value());
+      const bool written = co_await aExchange.Write(*chunk.value());
       if (!written) {
         co_return Error{ .code_ = ResultCode::kCallerLeft,
                          .ran_ = RanState::kYes };
       }
       continue;
     }
-    head.body_ += *piece.value();
-    if (head.body_.size() >= kWholeBodyBytes) {
-      const std::string begin = std::exchange(head.body_, {});
+    head.body_ += *chunk.value();
+    if (head.body_.size() >= kStreamingThresholdBytes) {
+      const std::string buffered = std::exchange(head.body_, {});
       co_await aExchange.StartStream(head);
-      co_await aExchange.Write(begin);
+      co_await aExchange.Write(buffered);
     }
   }
   bool sent = false;
@@ -238,8 +243,8 @@
 struct CallerFront::Route
 {
   std::string_view path_;
-  bool prefix_;
-  std::string_view method_; // empty for any
+  bool isPrefix_;
+  std::string_view method_; // empty matches any method
   Handler handler_;
 };
 
@@ -258,12 +263,12 @@
 
 asio::awaitable<void> CallerFront::Handle(HttpExchange& aExchange)
 {
-  BurnNote burn;
-  CallerRequest request{ .id_ = MakeRequestId(),
-                         .arrived_ = TimerService::Now(),
-                         .configuration_ =
-                           parts_.board_.configuration_.Read()->configuration_,
-                         .burn_ = &burn };
+  BurnObservation burn;
+  RequestContext request{ .id_ = MakeRequestId(),
+                          .arrived_ = TimerService::Now(),
+                          .configuration_ =
+                            parts_.board_.configuration_.Read()->configuration_,
+                          .burn_ = &burn };
   Error error;
   try {
     const auto done = co_await Dispatch(aExchange, request);
@@ -274,8 +279,8 @@
     }
     error = done.error();
   } catch (const boost::system::system_error& aCancelled) {
-    // The exchange was aborted while something was awaited; what had been
-    // sent to an endpoint by then may have run.
+    // The exchange was aborted during an asynchronous operation. A request that
+    // was already sent to an endpoint may have been executed.
     error = { .code_ = ResultCode::kCallerLeft, .ran_ = RanState::kUnknown };
   }
   co_await asio::this_coro::reset_cancellation_state();
@@ -286,18 +291,18 @@
   } else if (aExchange.Reason() == AbortReason::kStopping) {
     error.code_ = ResultCode::kShuttingDown;
   }
-  co_await AnswerFailure(aExchange, request, std::move(error));
+  co_await SendFailure(aExchange, request, std::move(error));
 }
 
 asio::awaitable<Outcome<void>> CallerFront::Dispatch(HttpExchange& aExchange,
-                                                     CallerRequest& aRequest)
+                                                     RequestContext& aRequest)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
   const auto* route = std::find_if(
     std::begin(kRoutes), std::end(kRoutes), [path](const Route& aRoute) {
-      return aRoute.prefix_ ? path.starts_with(aRoute.path_)
-                            : path == aRoute.path_;
+      return aRoute.isPrefix_ ? path.starts_with(aRoute.path_)
+                              : path == aRoute.path_;
     });
   if (route == std::end(kRoutes)) {
     co_return Error{ .code_ = ResultCode::kUnknownRoute };
@@ -324,7 +329,7 @@
 
 asio::awaitable<Outcome<void>> CallerFront::HandleModel(
   HttpExchange& aExchange,
-  const CallerRequest& aRequest)
+  const RequestContext& aRequest)
 {
   auto parsed = ParseModelRequest(aExchange.Request());
   if (!parsed) {
@@ -336,13 +341,13 @@
   if (service == nullptr) {
     co_return Error{ .code_ = ResultCode::kUnknownModel,
                      .text_ =
-                       "no service serves the model '" + model.model_ + "'" };
+                       "no service provides the model '" + model.model_ + "'" };
   }
-  const auto deadline = DeadlineOf(aExchange.Request(), *service);
+  const auto deadline = ParseDeadline(aExchange.Request(), *service);
   if (!deadline) {
     co_return deadline.error();
   }
-  NoteService(aRequest, *service, model.promptTokens_);
+  SetBurnService(aRequest, *service, model.promptTokens_);
   Generation generation{
     .requestId_ = aRequest.id_,
     .pool_ = service->pool_,
@@ -357,9 +362,9 @@
     .body_ = std::move(model.body_),
     .arrived_ = aRequest.arrived_,
   };
-  // Held once from here on, as text or as JSON.
+  // From here on only one copy of the body is kept, as text or as JSON.
   std::string text = std::exchange(aExchange.MutableRequest().body_, {});
-  if (model.textIsExtensible_) {
+  if (model.canAppendFields_) {
     generation.text_ = std::move(text);
     generation.body_ = {};
   }
@@ -373,7 +378,7 @@
     co_await sink.Finish();
     co_return boost::outcome_v2::success();
   }
-  CollectSink sink(aRequest);
+  BufferingSink sink(aRequest);
   const auto done = co_await parts_.models_.Run(std::move(generation), sink);
   if (!done) {
     co_return done.error();
@@ -391,7 +396,7 @@
 
 asio::awaitable<Outcome<void>> CallerFront::HandleService(
   HttpExchange& aExchange,
-  const CallerRequest& aRequest)
+  const RequestContext& aRequest)
 {
   HttpRequest& request = aExchange.MutableRequest();
   const std::string_view rest =
@@ -402,7 +407,7 @@
     co_return Error{ .code_ = ResultCode::kUnknownService,
                      .text_ = "no plain service '" + name + "'" };
   }
-  const auto deadline = DeadlineOf(request, *service);
+  const auto deadline = ParseDeadline(request, *service);
   if (!deadline) {
     co_return deadline.error();
   }
@@ -413,7 +418,7 @@
   HttpFields fields = WithoutOwnFields(request.fields_);
   fields.push_back({ "X-Request-Id", aRequest.id_ });
   fields.push_back({ "X-Team", aRequest.team_->name_ });
-  NoteService(aRequest, *service, 0);
+  SetBurnService(aRequest, *service, 0);
   ServiceCall call{
     .requestId_ = aRequest.id_,
     .pool_ = service->pool_,
@@ -430,22 +435,22 @@
   aExchange.SetDeadline(call.info_.deadline_);
   const std::string key(request.Field("Idempotency-Key"));
   if (!call.repeatable_ && !key.empty()) {
-    co_return co_await HandleOnce(aExchange, std::move(call), key);
+    co_return co_await HandleIdempotent(aExchange, std::move(call), key);
   }
   auto answer = co_await parts_.services_.Run(std::move(call));
   if (!answer) {
     co_return answer.error();
   }
-  const auto passed =
-    co_await PassOn(aExchange, *answer.value().call_, aRequest.id_);
+  const auto forwarded =
+    co_await ForwardResponse(aExchange, *answer.value().call_, aRequest.id_);
   answer.value().placement_.Finish(
-    { .succeeded_ = passed.has_value(),
+    { .succeeded_ = forwarded.has_value(),
       .endpointAtFault_ =
-        !passed && passed.error().code_ != ResultCode::kCallerLeft });
-  co_return passed;
+        !forwarded && forwarded.error().code_ != ResultCode::kCallerLeft });
+  co_return forwarded;
 }
 
-void CallerFront::RecordBurn(const CallerRequest& aRequest, ResultCode aCode)
+void CallerFront::RecordBurn(const RequestContext& aRequest, ResultCode aCode)
 {
   if (aRequest.burn_->service_ != nullptr) {
     parts_.burn_.Record(
@@ -453,9 +458,9 @@
   }
 }
 
-asio::awaitable<void> CallerFront::AnswerFailure(HttpExchange& aExchange,
-                                                 const CallerRequest& aRequest,
-                                                 Error aError)
+asio::awaitable<void> CallerFront::SendFailure(HttpExchange& aExchange,
+                                               const RequestContext& aRequest,
+                                               Error aError)
 {
   const int code = static_cast<int>(aError.code_);
   AddRetryAfter(aExchange.Request(), aError);
@@ -468,8 +473,8 @@
         { "code", code },
         { "text", aError.text_ },
         { "ran", NameOf(aError.ran_) } });
-  // Another write to a caller that does not read would wait in vain again. One
-  // that closed its sending half only still reads, and is told.
+  // A caller that has stopped reading would block another write too. A caller
+  // that closed only its sending half still reads, and gets the error.
   if (aExchange.Reason() == AbortReason::kCallerStalled) {
     co_return;
   }
@@ -477,8 +482,9 @@
     co_await aExchange.Send(ErrorResponse(aError, aRequest.id_));
     co_return;
   }
-  // The head is out, so the error can only be said inside the stream; leaving
-  // the stream unfinished shows even a careless caller that it was cut.
+  // The response head has been sent, so the error can only be reported inside
+  // the stream. The stream is left unterminated, so that a caller that does not
+  // parse error events detects the truncation too.
   co_await aExchange.Write("data: " + ErrorBody(aError, aRequest.id_) + "\n\n");
 }
 
--- a/src/front/gooseberrylift-caller-kept.cc
+++ b/src/front/gooseberrylift-caller-kept.cc
@@ -1,4 +1,5 @@
-// The requests of CallerFront whose outcome is kept in the store.
+// The handlers of CallerFront whose results are persisted in the object store:
+// jobs, and service calls with an Idempotency-Key.
 
 #include "gooseberrylift/internal/gooseberrylift-caller-front.h"
 #include "gooseberrylift/internal/gooseberrylift-forward-fields.h"
@@ -9,20 +10,21 @@
 
 asio::awaitable<Outcome<void>> CallerFront::HandleJobs(
   HttpExchange& aExchange,
-  const CallerRequest& aRequest)
+  const RequestContext& aRequest)
 {
   co_return co_await parts_.jobs_.Handle(
     aExchange, aRequest.configuration_, aRequest.team_->name_);
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleOnce(HttpExchange& aExchange,
-                                                       ServiceCall aCall,
-                                                       std::string aKey)
+asio::awaitable<Outcome<void>> CallerFront::HandleIdempotent(
+  HttpExchange& aExchange,
+  ServiceCall aCall,
+  std::string aKey)
 {
   constexpr std::size_t kMaxKeyBytes = 255;
   if (aKey.size() > kMaxKeyBytes) {
     co_return Error{ .code_ = ResultCode::kBadField,
-                     .text_ = "Idempotency-Key: at most 255 bytes" };
+                     .text_ = "Idempotency-Key: must be at most 255 bytes" };
   }
   const std::string requestId = aCall.requestId_;
   auto answer = co_await parts_.once_.Run(std::move(aCall), std::move(aKey));
--- a/src/front/gooseberrylift-config-admin.cc
+++ b/src/front/gooseberrylift-config-admin.cc
@@ -18,33 +18,33 @@
 
 namespace {
 
-std::uint64_t NumberOf(std::string_view aText)
+std::uint64_t ParseNumber(std::string_view aText)
 {
   std::uint64_t number = 0;
   std::from_chars(aText.data(), aText.data() + aText.size(), number);
   return number;
 }
 
-std::string HistoryName(std::uint64_t aGeneration)
+std::string ArchiveName(std::uint64_t aGeneration)
 {
   return "g-" + std::to_string(aGeneration);
 }
 
-std::string NewNonce()
+std::string GenerateNonce()
 {
   std::random_device device;
   return std::to_string(device()) + "-" + std::to_string(device()) + "-" +
          std::to_string(device());
 }
 
-std::int64_t WallMilliseconds()
+std::int64_t WallClockMilliseconds()
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
            std::chrono::system_clock::now().time_since_epoch())
     .count();
 }
 
-Outcome<void> CheckText(const std::string& aText)
+Outcome<void> Validate(const std::string& aText)
 {
   return leaf::try_handle_all(
     [&]() -> leaf::result<Outcome<void>> {
@@ -55,16 +55,16 @@
     [] { return Outcome<void>(MakeError(ResultCode::kInternal)); });
 }
 
-Error Unsettled()
+Error MakeOutcomeUnknownError()
 {
   return { .code_ = ResultCode::kWriteUnsettled,
-           .text_ = "the store does not answer; the change may have been "
-                    "accepted: `show` tells once the store is back",
+           .text_ = "the store does not respond; the change may have been "
+                    "accepted: run `show` once the store is reachable",
            .ran_ = RanState::kUnknown,
            .retryAfter_ = std::chrono::milliseconds(2000) };
 }
 
-std::string SpreadText(const Blackboard& aBoard, std::uint64_t aOwn)
+std::string HostGenerationsText(const Blackboard& aBoard, std::uint64_t aOwn)
 {
   json hosts = json::array();
   for (const Digest& digest : aBoard.peers_.Read()->digests_) {
@@ -110,7 +110,7 @@
 void ConfigAdmin::AddRoutes(AdminFront& aFront)
 {
   aFront.Add("GET", "/configuration", [this](HttpExchange& aExchange) {
-    return HandleShow(aExchange);
+    return HandleCurrent(aExchange);
   });
   aFront.Add("POST", "/configuration", [this](HttpExchange& aExchange) {
     return HandleApply(aExchange);
@@ -123,11 +123,11 @@
       return HandleGeneration(aExchange);
     });
   aFront.Add("GET", "/configuration/spread", [this](HttpExchange& aExchange) {
-    return HandleSpread(aExchange);
+    return HandleHostGenerations(aExchange);
   });
 }
 
-asio::awaitable<void> ConfigAdmin::HandleShow(HttpExchange& aExchange)
+asio::awaitable<void> ConfigAdmin::HandleCurrent(HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   if (!current) {
@@ -140,13 +140,15 @@
 
 asio::awaitable<void> ConfigAdmin::HandleApply(HttpExchange& aExchange)
 {
-  // A change that has begun is carried to its end, so that a command that was
-  // cut short leaves a change either refused or in force, not in between.
+  // A change that was started runs to completion even when the caller
+  // disconnects, so that an interrupted command leaves the change either
+  // rejected or applied.
   aExchange.KeepRunningWithoutCaller();
   const HttpRequest& request = aExchange.Request();
-  const auto accepted = co_await Change(NumberOf(request.Query("base")),
-                                        request.body_,
-                                        std::string(request.Query("author")));
+  const auto accepted =
+    co_await ApplyChange(ParseNumber(request.Query("base")),
+                         request.body_,
+                         std::string(request.Query("author")));
   if (!accepted) {
     co_await aExchange.Send(ErrorResponse(accepted.error(), {}));
     co_return;
@@ -170,9 +172,9 @@
 
 asio::awaitable<void> ConfigAdmin::HandleGeneration(HttpExchange& aExchange)
 {
-  const std::uint64_t number = NumberOf(aExchange.Request().Query("number"));
-  const auto text =
-    co_await TextOf(number, TimerService::Now() + options_.callTimeout_);
+  const std::uint64_t number = ParseNumber(aExchange.Request().Query("number"));
+  const auto text = co_await ReadGeneration(
+    number, TimerService::Now() + options_.callTimeout_);
   if (!text) {
     co_await aExchange.Send(ErrorResponse(text.error(), {}));
     co_return;
@@ -180,19 +182,21 @@
   co_await aExchange.Send(JsonResponse(200, text.value().dump()));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleSpread(HttpExchange& aExchange)
+asio::awaitable<void> ConfigAdmin::HandleHostGenerations(
+  HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
-  co_await aExchange.Send(
-    JsonResponse(200, SpreadText(board_, current ? current->Generation() : 0)));
+  co_await aExchange.Send(JsonResponse(
+    200, HostGenerationsText(board_, current ? current->Generation() : 0)));
 }
 
-asio::awaitable<Outcome<std::uint64_t>> ConfigAdmin::Change(std::uint64_t aBase,
-                                                            std::string aText,
-                                                            std::string aAuthor)
+asio::awaitable<Outcome<std::uint64_t>> ConfigAdmin::ApplyChange(
+  std::uint64_t aBase,
+  std::string aText,
+  std::string aAuthor)
 {
   const TimePoint deadline = TimerService::Now() + options_.timeout_;
-  const auto checked = CheckText(aText);
+  const auto checked = Validate(aText);
   if (!checked) {
     co_return checked.error();
   }
@@ -203,27 +207,28 @@
   StoreObject object = main.value();
   const auto stored = StoredConfiguration::FromSpec(object.spec_);
   const ConfigProposal proposal{ .base_ = aBase,
-                                 .highestInForce_ = HighestKnown() };
+                                 .highestInForce_ = HighestKnownGeneration() };
   const auto generation = NextGeneration(stored, proposal);
   if (!generation) {
-    co_return co_await Conflict(aBase, deadline);
+    co_return co_await MakeConflictError(aBase, deadline);
   }
-  const auto kept = co_await KeepOld(stored, deadline);
-  if (!kept) {
-    co_return kept.error();
+  const auto archived = co_await ArchiveReplaced(stored, deadline);
+  if (!archived) {
+    co_return archived.error();
   }
   json configuration = json::parse(aText);
   const std::string text = configuration.dump();
-  const std::string nonce = NewNonce();
+  const std::string nonce = GenerateNonce();
   ConfigChange change{ .generation_ = *generation,
                        .nonce_ = nonce,
                        .author_ = std::move(aAuthor),
-                       .atMs_ = WallMilliseconds() };
+                       .atMs_ = WallClockMilliseconds() };
   object.spec_ =
     AppendChange(stored, std::move(configuration), std::move(change)).ToSpec();
-  const auto written = co_await Write(std::move(object), nonce, deadline);
+  const auto written =
+    co_await WriteWithRetry(std::move(object), nonce, deadline);
   if (!written && written.error().code_ == ResultCode::kStoreConflict) {
-    co_return co_await Conflict(aBase, deadline);
+    co_return co_await MakeConflictError(aBase, deadline);
   }
   if (!written) {
     co_return written.error();
@@ -231,19 +236,19 @@
   Log(LogEvent::kConfigurationAccepted, { { "generation", *generation } });
   follower_.OfferText(*generation, text, ConfigSource::kOperator);
   const auto executor = co_await asio::this_coro::executor;
-  SpawnTask(executor, DropOldest(*generation, deadline));
+  SpawnTask(executor, DeleteOldestArchived(*generation, deadline));
   co_return *generation;
 }
 
-asio::awaitable<Outcome<void>> ConfigAdmin::Write(StoreObject aObject,
-                                                  std::string aNonce,
-                                                  TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigAdmin::WriteWithRetry(StoreObject aObject,
+                                                           std::string aNonce,
+                                                           TimePoint aDeadline)
 {
-  bool mayHaveRun = false;
+  bool mayHaveTakenEffect = false;
   const bool create = aObject.version_.empty();
   while (true) {
-    // The same conditional write may be sent again and again: it takes effect
-    // once at most, since its own effect changes the version it asks for.
+    // The conditional write is safe to retry: it takes effect at most once,
+    // since its success changes the version that it requires.
     Outcome<StoreObject> written = MakeError(ResultCode::kInternal);
     if (create) {
       written = co_await store_.Create(aObject, CallDeadline(aDeadline));
@@ -254,22 +259,25 @@
       co_return boost::outcome_v2::success();
     }
     if (written.error().code_ == ResultCode::kStoreConflict) {
-      co_return co_await Settle(aNonce, aDeadline);
+      co_return co_await ResolveConflict(aNonce, aDeadline);
     }
-    mayHaveRun = mayHaveRun || written.error().ran_ != RanState::kNo;
-    if (TimerService::Now() + options_.pause_ >= aDeadline) {
-      co_return mayHaveRun ? Unsettled() : written.error();
+    mayHaveTakenEffect =
+      mayHaveTakenEffect || written.error().ran_ != RanState::kNo;
+    if (TimerService::Now() + options_.retryDelay_ >= aDeadline) {
+      co_return mayHaveTakenEffect ? MakeOutcomeUnknownError()
+                                   : written.error();
     }
-    co_await TimerService::SleepFor(options_.pause_);
+    co_await TimerService::SleepFor(options_.retryDelay_);
   }
 }
 
-// A conflict may be with our own earlier try, whose answer was lost: an
-// operator who were told "conflict" then would apply the change again, or
-// believe it refused while it comes into force. The nonce in the object's
-// recent changes tells the two apart, also when others have written since.
-asio::awaitable<Outcome<void>> ConfigAdmin::Settle(std::string aNonce,
-                                                   TimePoint aDeadline)
+// Determines whether a conflict was caused by an earlier attempt of the same
+// write whose response was lost. Reporting that as a conflict would lead the
+// operator to apply the change again, or to believe it rejected although it
+// takes effect. The nonce in the object's recent changes identifies this
+// host's write, even after other writes followed it.
+asio::awaitable<Outcome<void>> ConfigAdmin::ResolveConflict(std::string aNonce,
+                                                            TimePoint aDeadline)
 {
   while (true) {
     const auto main = co_await ReadMain(aDeadline);
@@ -280,10 +288,10 @@
       }
       co_return MakeError(ResultCode::kStoreConflict);
     }
-    if (TimerService::Now() + options_.pause_ >= aDeadline) {
-      co_return Unsettled();
+    if (TimerService::Now() + options_.retryDelay_ >= aDeadline) {
+      co_return MakeOutcomeUnknownError();
     }
-    co_await TimerService::SleepFor(options_.pause_);
+    co_await TimerService::SleepFor(options_.retryDelay_);
   }
 }
 
@@ -298,61 +306,64 @@
   co_return read;
 }
 
-// The text of the generation that is about to be replaced is stored first, so
-// that the history has no gap even when this host dies in between.
-asio::awaitable<Outcome<void>> ConfigAdmin::KeepOld(StoredConfiguration aOld,
-                                                    TimePoint aDeadline)
+// Stores the generation that is about to be replaced before the new one is
+// written, so that the history has no gap even if this host crashes in between.
+asio::awaitable<Outcome<void>> ConfigAdmin::ArchiveReplaced(
+  StoredConfiguration aReplaced,
+  TimePoint aDeadline)
 {
-  if (aOld.generation_ == 0) {
+  if (aReplaced.generation_ == 0) {
     co_return boost::outcome_v2::success();
   }
   StoreObject object{ .kind_ = kHistoryKind,
-                      .name_ = HistoryName(aOld.generation_) };
-  object.spec_["configuration"] = aOld.configuration_;
+                      .name_ = ArchiveName(aReplaced.generation_) };
+  object.spec_["configuration"] = aReplaced.configuration_;
   while (true) {
-    // Created once and never changed, so a conflict says that it is there,
-    // also when it is our own try whose answer was lost.
+    // The object is created once and never changed, so a conflict means that it
+    // exists, possibly from an earlier attempt whose response was lost.
     const auto created =
       co_await store_.Create(object, CallDeadline(aDeadline));
     if (created || created.error().code_ == ResultCode::kStoreConflict) {
       co_return boost::outcome_v2::success();
     }
-    if (TimerService::Now() + options_.pause_ >= aDeadline) {
+    if (TimerService::Now() + options_.retryDelay_ >= aDeadline) {
       Error error = created.error();
-      error.ran_ = RanState::kNo; // of the change itself
+      error.ran_ = RanState::kNo; // the change itself was not written
       co_return error;
     }
-    co_await TimerService::SleepFor(options_.pause_);
+    co_await TimerService::SleepFor(options_.retryDelay_);
   }
 }
 
-asio::awaitable<void> ConfigAdmin::DropOldest(std::uint64_t aGeneration,
-                                              TimePoint aDeadline)
+asio::awaitable<void> ConfigAdmin::DeleteOldestArchived(
+  std::uint64_t aGeneration,
+  TimePoint aDeadline)
 {
   if (aGeneration <= StoredConfiguration::kMaxRecentChanges) {
     co_return;
   }
   (void)co_await store_.Delete(
     kHistoryKind,
-    HistoryName(aGeneration - StoredConfiguration::kMaxRecentChanges),
+    ArchiveName(aGeneration - StoredConfiguration::kMaxRecentChanges),
     {},
     CallDeadline(aDeadline));
 }
 
-asio::awaitable<Outcome<json>> ConfigAdmin::TextOf(std::uint64_t aGeneration,
-                                                   TimePoint aDeadline)
+asio::awaitable<Outcome<json>> ConfigAdmin::ReadGeneration(
+  std::uint64_t aGeneration,
+  TimePoint aDeadline)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   if (current && current->Generation() == aGeneration) {
     co_return json::parse(current->Text());
   }
-  const auto kept = co_await store_.Read(
-    kHistoryKind, HistoryName(aGeneration), CallDeadline(aDeadline));
-  if (kept) {
-    co_return kept.value().spec_.value("configuration", json::object());
+  const auto archived = co_await store_.Read(
+    kHistoryKind, ArchiveName(aGeneration), CallDeadline(aDeadline));
+  if (archived) {
+    co_return archived.value().spec_.value("configuration", json::object());
   }
-  if (kept.error().code_ != ResultCode::kStoreNotFound) {
-    co_return kept.error();
+  if (archived.error().code_ != ResultCode::kStoreNotFound) {
+    co_return archived.error();
   }
   const auto main = co_await ReadMain(aDeadline);
   if (!main) {
@@ -362,15 +373,15 @@
   if (stored.generation_ != aGeneration) {
     co_return MakeError(ResultCode::kStoreNotFound,
                         "generation " + std::to_string(aGeneration) +
-                          " is not kept");
+                          " is not in the history");
   }
   co_return stored.configuration_;
 }
 
-asio::awaitable<Error> ConfigAdmin::Conflict(std::uint64_t aBase,
-                                             TimePoint aDeadline)
+asio::awaitable<Error> ConfigAdmin::MakeConflictError(std::uint64_t aBase,
+                                                      TimePoint aDeadline)
 {
-  std::uint64_t newest = HighestKnown();
+  std::uint64_t newest = HighestKnownGeneration();
   const auto main = co_await ReadMain(aDeadline);
   if (main) {
     newest = std::max(
@@ -378,9 +389,9 @@
   }
   Log(LogEvent::kConfigurationConflicted,
       { { "base", aBase }, { "newest", newest } });
-  const auto from = co_await TextOf(aBase, aDeadline);
-  const auto to = co_await TextOf(newest, aDeadline);
-  std::string text = "the change was made from generation " +
+  const auto from = co_await ReadGeneration(aBase, aDeadline);
+  const auto to = co_await ReadGeneration(newest, aDeadline);
+  std::string text = "the change is based on generation " +
                      std::to_string(aBase) + ", but the newest is " +
                      std::to_string(newest);
   if (from && to) {
@@ -395,7 +406,7 @@
                       text);
 }
 
-std::uint64_t ConfigAdmin::HighestKnown() const
+std::uint64_t ConfigAdmin::HighestKnownGeneration() const
 {
   const auto current = board_.configuration_.Read()->configuration_;
   std::uint64_t highest = current ? current->Generation() : 0;
--- a/src/front/gooseberrylift-job-front.cc
+++ b/src/front/gooseberrylift-job-front.cc
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxKeyBytes = 255;
 
-std::string HexOf(const std::string& aBytes)
+std::string ToHex(const std::string& aBytes)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string text;
@@ -28,8 +28,8 @@
   return text;
 }
 
-// Errors of the store in the words of jobs.
-Error JobError(const Error& aError)
+// Converts an error of the object store to one of the jobs API.
+Error ToJobError(const Error& aError)
 {
   if (aError.code_ == ResultCode::kStoreNotFound) {
     return { .code_ = ResultCode::kJobUnknown };
@@ -40,7 +40,7 @@
            .retryAfter_ = std::chrono::milliseconds(1000) };
 }
 
-json ViewOf(const StoredJob& aJob)
+json JobToJson(const StoredJob& aJob)
 {
   const JobRecord& record = aJob.record_;
   json view = { { "id", aJob.id_ },
@@ -59,13 +59,13 @@
   return view;
 }
 
-HttpResponse ResponseOf(int aStatus, const json& aBody)
+HttpResponse MakeJsonResponse(int aStatus, const json& aBody)
 {
   return JsonResponse(
     aStatus, aBody.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
-// What a request for a job carries.
+// The content of a request that creates a job.
 struct JobRequest
 {
   std::string target_;
@@ -82,7 +82,7 @@
   const json url = body.value("url", json());
   if (url != "/v1/chat/completions" && url != "/v1/completions") {
     return MakeError(ResultCode::kBadField,
-                     "url: /v1/chat/completions or /v1/completions is needed");
+                     "url: must be /v1/chat/completions or /v1/completions");
   }
   JobRequest job{ .target_ = url, .text_ = body.value("body", json()).dump() };
   const auto model =
@@ -117,7 +117,7 @@
   if (request.method_ == "POST" && id.empty()) {
     answer = co_await Add(request, aConfig, aTeam);
   } else if (request.method_ == "GET" && !id.empty()) {
-    answer = co_await Show(id, aTeam);
+    answer = co_await Get(id, aTeam);
   } else if (request.method_ == "DELETE" && !id.empty()) {
     answer = co_await Remove(id, aTeam);
   }
@@ -139,7 +139,7 @@
   const std::string key(aRequest.Field("Idempotency-Key"));
   if (key.size() > kMaxKeyBytes) {
     co_return MakeError(ResultCode::kBadField,
-                        "Idempotency-Key: at most 255 bytes");
+                        "Idempotency-Key: must be at most 255 bytes");
   }
   if (!runner_.HasRoom(aTeam)) {
     Error full = MakeError(ResultCode::kJobTeamFull);
@@ -149,20 +149,21 @@
   JobRequest& request = parsed.value();
   StoredJob job;
   job.id_ =
-    HexOf(key.empty() ? DigestOf({ MakeNonce() }) : DigestOf({ aTeam, key }));
+    ToHex(key.empty() ? DigestOf({ MakeNonce() }) : DigestOf({ aTeam, key }));
   job.record_.team_ = aTeam;
   job.record_.target_ = request.target_;
   job.record_.digest_ =
     EncodeBase64(DigestOf({ request.target_, request.text_ }));
-  job.record_.expires_ = std::chrono::system_clock::now() + options_.keepFor_;
+  job.record_.expires_ = std::chrono::system_clock::now() + options_.retention_;
   const auto stored = co_await Store(std::move(job), std::move(request.text_));
   if (!stored) {
     co_return stored.error();
   }
-  co_return ResponseOf(202, ViewOf(stored.value()));
+  co_return MakeJsonResponse(202, JobToJson(stored.value()));
 }
 
-// Stores a job, or finds the one that an earlier try with the key has stored.
+// Stores a job, or returns the one that an earlier request with the same
+// Idempotency-Key stored.
 asio::awaitable<Outcome<StoredJob>> JobFront::Store(StoredJob aJob,
                                                     std::string aText)
 {
@@ -175,41 +176,43 @@
     co_return added;
   }
   if (added.error().code_ != ResultCode::kStoreConflict) {
-    co_return JobError(added.error());
+    co_return ToJobError(added.error());
   }
   const auto earlier = co_await store_.Read(id, deadline);
   if (!earlier) {
-    co_return JobError(earlier.error());
+    co_return ToJobError(earlier.error());
   }
   if (earlier.value().record_.digest_ != digest) {
     co_return MakeError(ResultCode::kOnceKeyReused);
   }
   if (earlier.value().record_.state_ == JobState::kStoring) {
-    // An earlier try died between the chunks. It goes, and the next try stores
-    // the job anew; until then nobody was promised anything.
+    // An earlier request failed between the chunks, so its job is incomplete
+    // and was never acknowledged. It is deleted, and the next attempt stores it
+    // again.
     co_await store_.Remove(earlier.value(), deadline);
-    Error again = MakeError(ResultCode::kJobStoreUnavailable,
-                            "an earlier try did not store the whole job");
+    Error again =
+      MakeError(ResultCode::kJobStoreUnavailable,
+                "an earlier attempt did not store the complete job");
     again.retryAfter_ = std::chrono::milliseconds(1000);
     co_return again;
   }
   co_return earlier;
 }
 
-// Reads a job of a team; another team's does not exist for it.
+// Reads a job of a team. A job of another team is reported as unknown.
 asio::awaitable<Outcome<StoredJob>> JobFront::Find(std::string aId,
                                                    std::string aTeam)
 {
-  const bool plain = std::all_of(aId.begin(), aId.end(), [](char aLetter) {
-    return std::isxdigit(static_cast<unsigned char>(aLetter)) != 0;
+  const bool isHex = std::all_of(aId.begin(), aId.end(), [](char aCharacter) {
+    return std::isxdigit(static_cast<unsigned char>(aCharacter)) != 0;
   });
-  if (!plain) {
+  if (!isHex) {
     co_return MakeError(ResultCode::kJobUnknown);
   }
   const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
   const auto job = co_await store_.Read(aId, deadline);
   if (!job) {
-    co_return JobError(job.error());
+    co_return ToJobError(job.error());
   }
   if (job.value().record_.team_ != aTeam) {
     co_return MakeError(ResultCode::kJobUnknown);
@@ -217,23 +220,23 @@
   co_return job;
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Show(std::string aId,
-                                                      std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobFront::Get(std::string aId,
+                                                     std::string aTeam)
 {
   const auto job = co_await Find(std::move(aId), std::move(aTeam));
   if (!job) {
     co_return job.error();
   }
-  json view = ViewOf(job.value());
+  json view = JobToJson(job.value());
   if (job.value().record_.state_ == JobState::kDone) {
     const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
     const auto result = co_await store_.ReadResult(job.value(), deadline);
     if (!result) {
-      co_return JobError(result.error());
+      co_return ToJobError(result.error());
     }
     view["result"] = json::parse(result.value(), nullptr, false);
   }
-  co_return ResponseOf(200, view);
+  co_return MakeJsonResponse(200, view);
 }
 
 asio::awaitable<Outcome<HttpResponse>> JobFront::Remove(std::string aId,
@@ -246,12 +249,12 @@
   const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
   const auto removed = co_await store_.Remove(job.value(), deadline);
   if (!removed) {
-    co_return JobError(removed.error());
+    co_return ToJobError(removed.error());
   }
   json view = json::object();
   view["id"] = job.value().id_;
   view["deleted"] = true;
-  co_return ResponseOf(200, view);
+  co_return MakeJsonResponse(200, view);
 }
 
 } // namespace gooseberrylift
--- a/src/front/gooseberrylift-log-routes.cc
+++ b/src/front/gooseberrylift-log-routes.cc
@@ -24,8 +24,8 @@
   if (!SetLogLevel(aRequest.Query("component"), aRequest.Query("level"))) {
     return ErrorResponse(
       MakeError(ResultCode::kBadField,
-                "component and level: a component of GET /log or 'all', and "
-                "debug, info, warning or error"),
+                "component: must be one of those that GET /log lists, or "
+                "'all'; level: must be debug, info, warning or error"),
       {});
   }
   return JsonResponse(200, LevelsText());
--- a/src/front/gooseberrylift-model-request.cc
+++ b/src/front/gooseberrylift-model-request.cc
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t kBytesPerToken = 4;
 constexpr std::uint64_t kDefaultMaxTokens = 16;
-constexpr std::uint64_t kMaxMaxTokens = 1'000'000;
+constexpr std::uint64_t kMaxTokensLimit = 1'000'000;
 constexpr std::size_t kPrefixBytes = 1024;
 
 Error BadField(const char* aText)
@@ -20,24 +20,25 @@
   return { .code_ = ResultCode::kBadField, .text_ = aText };
 }
 
-// Adds up the prompt's bytes and keeps its first kilobyte.
+// Counts the bytes of a prompt and keeps its first kilobyte.
 struct PromptScan
 {
   std::uint64_t bytes_ = 0;
-  std::string head_;
+  std::string prefix_;
 
   void Add(const std::string& aText)
   {
     bytes_ += aText.size();
-    if (head_.size() < kPrefixBytes) {
-      head_.append(aText, 0, kPrefixBytes - head_.size());
+    if (prefix_.size() < kPrefixBytes) {
+      prefix_.append(aText, 0, kPrefixBytes - prefix_.size());
     }
   }
 };
 
-// Fields that this host sets in an engine's request. "stream" may stand in the
-// caller's text when it is true, since it is set to the same.
-bool HasOwnField(const json& aBody)
+// Returns whether the body contains a field that this host sets in the request
+// to the engine. "stream" with the value true is allowed, since this host sets
+// the same value.
+bool SetsReservedField(const json& aBody)
 {
   const bool streamed = aBody.value("stream", json(true)) == true;
   return !streamed || aBody.contains("request_id") ||
@@ -45,44 +46,45 @@
          aBody.contains("kv_import");
 }
 
-// Parses a body and notes whether a name of its outermost object came twice:
-// this host reads the last of two, and an engine might read the first.
-json ParseBody(const std::string& aText, bool* aNamesRepeat)
+// Parses a body and detects duplicate keys in its outermost object: this host
+// uses the last of two values, and an engine might use the first.
+json ParseBody(const std::string& aText, bool* aHasDuplicateKeys)
 {
   std::set<std::string> names;
-  *aNamesRepeat = false;
-  const auto watch = [&](int aDepth, json::parse_event_t aEvent, json& aItem) {
-    if (aDepth == 1 && aEvent == json::parse_event_t::key &&
-        !names.insert(aItem.get<std::string>()).second) {
-      *aNamesRepeat = true;
-    }
-    return true;
-  };
-  return json::parse(aText, watch, false);
+  *aHasDuplicateKeys = false;
+  const auto onParseEvent =
+    [&](int aDepth, json::parse_event_t aEvent, json& aItem) {
+      if (aDepth == 1 && aEvent == json::parse_event_t::key &&
+          !names.insert(aItem.get<std::string>()).second) {
+        *aHasDuplicateKeys = true;
+      }
+      return true;
+    };
+  return json::parse(aText, onParseEvent, false);
 }
 
 Outcome<PromptScan> ScanChat(const json& aBody)
 {
   const auto messages = aBody.find("messages");
   if (messages == aBody.end() || !messages->is_array() || messages->empty()) {
-    return BadField("messages: an array with at least one message is needed");
+    return BadField("messages: must be an array with at least one message");
   }
   PromptScan scan;
   for (const json& message : *messages) {
     if (!message.is_object() || !message.contains("content") ||
         !message.at("content").is_string()) {
-      return BadField("messages: each message needs a content of text");
+      return BadField("messages: each message must have a string as content");
     }
     scan.Add(message.at("content").get_ref<const std::string&>());
   }
   return scan;
 }
 
-Outcome<PromptScan> ScanPlain(const json& aBody)
+Outcome<PromptScan> ScanCompletion(const json& aBody)
 {
   const auto prompt = aBody.find("prompt");
   if (prompt == aBody.end() || !prompt->is_string()) {
-    return BadField("prompt: a text is needed");
+    return BadField("prompt: must be a string");
   }
   PromptScan scan;
   scan.Add(prompt->get_ref<const std::string&>());
@@ -94,37 +96,37 @@
 Outcome<ModelRequest> ParseModelRequest(const HttpRequest& aRequest)
 {
   ModelRequest request;
-  bool namesRepeat = false;
-  request.body_ = ParseBody(aRequest.body_, &namesRepeat);
+  bool hasDuplicateKeys = false;
+  request.body_ = ParseBody(aRequest.body_, &hasDuplicateKeys);
   const json& body = request.body_;
   if (!body.is_object()) {
     return Error{ .code_ = ResultCode::kMalformedJson,
                   .text_ = "the body is not a JSON object" };
   }
   if (!body.contains("model") || !body.at("model").is_string()) {
-    return BadField("model: a name is needed");
+    return BadField("model: must be a string");
   }
   request.model_ = body.at("model");
   request.chat_ = aRequest.Path() == "/v1/chat/completions";
-  const auto scan = request.chat_ ? ScanChat(body) : ScanPlain(body);
+  const auto scan = request.chat_ ? ScanChat(body) : ScanCompletion(body);
   if (!scan) {
     return scan.error();
   }
   const json limit = body.value("max_tokens", json(kDefaultMaxTokens));
-  if (!limit.is_number_unsigned() || limit == 0 || limit > kMaxMaxTokens) {
-    return BadField("max_tokens: a whole number from 1 to 1000000 is needed");
+  if (!limit.is_number_unsigned() || limit == 0 || limit > kMaxTokensLimit) {
+    return BadField("max_tokens: must be a whole number from 1 to 1000000");
   }
   const json stream = body.value("stream", json(false));
   if (!stream.is_boolean()) {
-    return BadField("stream: true or false is needed");
+    return BadField("stream: must be true or false");
   }
   request.stream_ = stream;
-  request.textIsExtensible_ = !namesRepeat && !HasOwnField(body);
+  request.canAppendFields_ = !hasDuplicateKeys && !SetsReservedField(body);
   request.maxTokens_ = limit;
   request.promptTokens_ =
     (scan.value().bytes_ + kBytesPerToken - 1) / kBytesPerToken;
   request.prefixHash_ =
-    XXH3_64bits(scan.value().head_.data(), scan.value().head_.size());
+    XXH3_64bits(scan.value().prefix_.data(), scan.value().prefix_.size());
   return request;
 }
 
