--- a/src/cli/gooseberrylift-admin-client.cc
+++ b/src/cli/gooseberrylift-admin-client.cc
@@ -15,10 +15,10 @@
 
 namespace {
 
-asio::awaitable<void> Ask(HttpClient& aClient,
-                          HttpRequest aRequest,
-                          TimePoint aDeadline,
-                          AdminAnswer& aAnswer)
+asio::awaitable<void> Query(HttpClient& aClient,
+                            HttpRequest aRequest,
+                            TimePoint aDeadline,
+                            AdminAnswer& aAnswer)
 {
   auto response =
     co_await aClient.Fetch(aAnswer.address_, std::move(aRequest), aDeadline);
@@ -27,7 +27,7 @@
 
 } // namespace
 
-std::string AdminAnswer::Fault() const
+std::string AdminAnswer::ErrorText() const
 {
   if (!response_) {
     const Error& error = response_.error();
@@ -53,7 +53,9 @@
     ->delimiter(',')
     ->envname("GOOSEBERRYLIFT_HOSTS")
     ->required();
-  aCommand.add_option("--admin-key", options->key_, "a key of the settings")
+  aCommand
+    .add_option(
+      "--admin-key", options->key_, "an admin key of the hosts' settings")
     ->envname("GOOSEBERRYLIFT_ADMIN_KEY");
   aCommand.add_option("--output", options->output_, "text or json")
     ->check(CLI::IsMember({ "text", "json" }));
@@ -63,13 +65,13 @@
       [options](std::int64_t aValue) {
         options->timeout_ = std::chrono::milliseconds(aValue);
       },
-      "how long to wait for a host (5000)")
+      "timeout for the responses of the hosts (default 5000)")
     ->check(CLI::Range(1, 600'000));
   return options;
 }
 
-std::vector<AdminAnswer> AskHosts(const AdminOptions& aOptions,
-                                  const HttpRequest& aRequest)
+std::vector<AdminAnswer> QueryHosts(const AdminOptions& aOptions,
+                                    const HttpRequest& aRequest)
 {
   std::vector<AdminAnswer> answers;
   for (const std::string& address : aOptions.hosts_) {
@@ -85,29 +87,29 @@
   const TimePoint deadline = TimerService::Now() + aOptions.timeout_;
   for (AdminAnswer& answer : answers) {
     asio::co_spawn(
-      context, Ask(client, request, deadline, answer), asio::detached);
+      context, Query(client, request, deadline, answer), asio::detached);
   }
   context.run();
   return answers;
 }
 
-Error FaultOf(const std::vector<AdminAnswer>& aAnswers)
+Error CombineErrors(const std::vector<AdminAnswer>& aAnswers)
 {
   Error error{ .code_ = ResultCode::kOk };
   for (const AdminAnswer& answer : aAnswers) {
-    if (!answer.IsGood()) {
+    if (!answer.IsSuccess()) {
       error.code_ =
         answer.response_ ? ResultCode::kAdminRefused : ResultCode::kHostsSilent;
       error.text_ += (error.text_.empty() ? "" : "; ") + answer.address_ +
-                     ": " + answer.Fault();
+                     ": " + answer.ErrorText();
     }
   }
   return error;
 }
 
-boost::leaf::result<void> EndWith(const std::vector<AdminAnswer>& aAnswers)
+boost::leaf::result<void> ToResult(const std::vector<AdminAnswer>& aAnswers)
 {
-  Error fault = FaultOf(aAnswers);
+  Error fault = CombineErrors(aAnswers);
   if (fault.code_ != ResultCode::kOk) {
     return boost::leaf::new_error(std::move(fault));
   }
--- a/src/cli/gooseberrylift-admin-client.h
+++ b/src/cli/gooseberrylift-admin-client.h
@@ -1,4 +1,5 @@
-// Asks the admin ports of one or more hosts, for the subcommands that do.
+// Client of the admin ports of one or more hosts, shared by the subcommands
+// that query running hosts.
 
 #ifndef GOOSEBERRYLIFT_CLI_GOOSEBERRYLIFT_ADMIN_CLIENT_H_
 #define GOOSEBERRYLIFT_CLI_GOOSEBERRYLIFT_ADMIN_CLIENT_H_
@@ -15,7 +16,7 @@
 
 namespace gooseberrylift {
 
-// What such subcommands share on the command line.
+// The command line options that these subcommands share.
 struct AdminOptions
 {
   std::vector<std::string> hosts_; // IP:port of admin ports
@@ -26,33 +27,37 @@
   bool IsJson() const { return output_ == "json"; }
 };
 
-// One host's answer.
+// The response of one host, or the error that replaced it.
 struct AdminAnswer
 {
   std::string address_;
   Outcome<HttpResponse> response_;
 
-  bool IsGood() const { return response_ && response_.value().status_ < 300; }
+  bool IsSuccess() const
+  {
+    return response_ && response_.value().status_ < 300;
+  }
 
-  /// Says in a few words why the answer is not good.
-  std::string Fault() const;
+  /// Returns a short description of the error when IsSuccess() is false.
+  std::string ErrorText() const;
 };
 
 /// Adds --hosts, --admin-key, --output and --timeout-ms to a subcommand.
 std::shared_ptr<AdminOptions> AddAdminOptions(CLI::App& aCommand);
 
-/// Sends a request to each host at the same time and waits for all of them or
+/// Sends a request to all hosts concurrently and waits for their responses or
 /// the timeout.
 /// @return the answers in the order of the hosts
-std::vector<AdminAnswer> AskHosts(const AdminOptions& aOptions,
-                                  const HttpRequest& aRequest);
+std::vector<AdminAnswer> QueryHosts(const AdminOptions& aOptions,
+                                    const HttpRequest& aRequest);
 
-/// Makes the error of a subcommand from the hosts that gave no good answer.
-/// @return kHostsSilent or kAdminRefused with their addresses; kOk when none
-Error FaultOf(const std::vector<AdminAnswer>& aAnswers);
+/// Combines the errors of all hosts into the error of a subcommand.
+/// @return kHostsSilent or kAdminRefused with the addresses of the failed
+///         hosts; kOk when all succeeded
+Error CombineErrors(const std::vector<AdminAnswer>& aAnswers);
 
-/// Ends a subcommand: with FaultOf's error, or well when there is none.
-boost::leaf::result<void> EndWith(const std::vector<AdminAnswer>& aAnswers);
+/// Returns the error of CombineErrors(), or success when there is none.
+boost::leaf::result<void> ToResult(const std::vector<AdminAnswer>& aAnswers);
 
 } // namespace gooseberrylift
 
--- a/src/cli/gooseberrylift-command.h
+++ b/src/cli/gooseberrylift-command.h
@@ -1,5 +1,5 @@
-// Subcommands of the one binary. Each has a file of its own and adds itself to
-// the command line; its result is a ResultCode, which is the exit status.
+// The subcommands of the binary. Each registers itself with the command line
+// parser; its ResultCode becomes the exit status.
 
 #ifndef GOOSEBERRYLIFT_CLI_GOOSEBERRYLIFT_COMMAND_H_
 #define GOOSEBERRYLIFT_CLI_GOOSEBERRYLIFT_COMMAND_H_
@@ -14,10 +14,10 @@
 
 namespace gooseberrylift {
 
-// What a subcommand does once its arguments were read.
+// The action of a subcommand, run after its arguments were parsed.
 using CommandBody = std::function<boost::leaf::result<void>()>;
 
-// Receives the body of the subcommand that the arguments chose.
+// Receives the body of the selected subcommand.
 using CommandSink = std::function<void(CommandBody aBody)>;
 
 void AddServeCommand(CLI::App& aApp, const CommandSink& aSink);
@@ -31,11 +31,11 @@
 void AddTableCommands(CLI::App& aApp, const CommandSink& aSink);
 void AddVersionCommand(CLI::App& aApp, const CommandSink& aSink);
 
-/// Reads a whole file, or standard input for "-"; a text that begins with "{"
-/// stands for itself.
-/// @param aPath the file
-/// @param aCode the code of the error when it can't be read
-/// @return its text
+/// Reads a whole file, or standard input for "-". An argument that begins with
+/// "{" is returned as it is.
+/// @param aPath the path, "-", or JSON text
+/// @param aCode the code of the error when the file can't be read
+/// @return the text
 boost::leaf::result<std::string> ReadTextFile(const std::string& aPath,
                                               ResultCode aCode);
 
--- a/src/cli/gooseberrylift-configuration.cc
+++ b/src/cli/gooseberrylift-configuration.cc
@@ -1,5 +1,5 @@
-// The subcommands that read and change the fleet's configuration through the
-// admin port of any entry host.
+// Subcommands that read and change the configuration of the fleet through the
+// admin port of an entry host.
 
 #include "gooseberrylift-command.h"
 
@@ -29,8 +29,9 @@
 
 namespace {
 
-// Above the host's own limit for a change, so that its answer is heard.
-constexpr std::chrono::seconds kCallLimit(12);
+// Longer than the host's own timeout for a change (8 s), so that its response
+// is received.
+constexpr std::chrono::seconds kCallTimeout(12);
 
 struct HostOptions
 {
@@ -59,9 +60,9 @@
   return host;
 }
 
-// Reads the host's refusal back into an error, so that the command's exit
-// status is the refusal's own code.
-Error ErrorOf(const HttpResponse& aResponse)
+// Converts an error response to an Error, so that the exit status of the
+// command is the result code that the host returned.
+Error ErrorFromResponse(const HttpResponse& aResponse)
 {
   const json body = json::parse(aResponse.body_, nullptr, false);
   if (!body.is_object() || !body.contains("error")) {
@@ -79,7 +80,7 @@
                             std::optional<Outcome<HttpResponse>>& aResult)
 {
   aResult = co_await aClient.Fetch(
-    aHost.address_, std::move(aRequest), TimerService::Now() + kCallLimit);
+    aHost.address_, std::move(aRequest), TimerService::Now() + kCallTimeout);
 }
 
 leaf::result<json> Call(const HostOptions& aHost, HttpRequest aRequest)
@@ -99,18 +100,20 @@
                 aHost.address_ + ": " + result->error().text_));
   }
   if (result->value().status_ != 200) {
-    return leaf::new_error(ErrorOf(result->value()));
+    return leaf::new_error(ErrorFromResponse(result->value()));
   }
   return json::parse(result->value().body_, nullptr, false);
 }
 
-// Names the hosts that are heard of but have an older generation in force.
-leaf::result<std::set<std::string>> Lagging(const HostOptions& aHost,
-                                            std::uint64_t aGeneration)
+// Returns the names of the host's live peers that still use an older
+// generation.
+leaf::result<std::set<std::string>> FindLaggingHosts(const HostOptions& aHost,
+                                                     std::uint64_t aGeneration)
 {
-  BOOST_LEAF_AUTO(spread, Call(aHost, MakeRequest("/configuration/spread")));
+  BOOST_LEAF_AUTO(hostGenerations,
+                  Call(aHost, MakeRequest("/configuration/spread")));
   std::set<std::string> lagging;
-  for (const json& host : spread.value("hosts", json::array())) {
+  for (const json& host : hostGenerations.value("hosts", json::array())) {
     if (host.value("generation", std::uint64_t{ 0 }) < aGeneration) {
       lagging.insert(host.value("host", ""));
     }
@@ -127,14 +130,14 @@
   return text;
 }
 
-leaf::result<void> WaitForAll(const ApplyOptions& aOptions,
-                              std::uint64_t aGeneration)
+leaf::result<void> WaitForAllHosts(const ApplyOptions& aOptions,
+                                   std::uint64_t aGeneration)
 {
   const TimePoint end =
     TimerService::Now() + std::chrono::seconds(aOptions.waitSeconds_);
   std::set<std::string> lagging;
   do {
-    BOOST_LEAF_ASSIGN(lagging, Lagging(aOptions.host_, aGeneration));
+    BOOST_LEAF_ASSIGN(lagging, FindLaggingHosts(aOptions.host_, aGeneration));
     if (lagging.empty()) {
       std::cout << "generation " << aGeneration << " in force on all live hosts"
                 << std::endl;
@@ -163,7 +166,7 @@
     accepted.value("generation", std::uint64_t{ 0 });
   std::cout << "accepted as generation " << generation << std::endl;
   if (aOptions.wait_) {
-    return WaitForAll(aOptions, generation);
+    return WaitForAllHosts(aOptions, generation);
   }
   return {};
 }
@@ -208,8 +211,8 @@
 
 void AddApply(CLI::App& aApp, const CommandSink& aSink)
 {
-  CLI::App* command =
-    aApp.add_subcommand("apply", "Make a file the fleet's configuration");
+  CLI::App* command = aApp.add_subcommand(
+    "apply", "Apply a file as the configuration of the fleet");
   command->footer("Example: gooseberrylift apply services.json --base 7 "
                   "--host 127.0.0.1:9001 --wait");
   auto options = std::make_shared<ApplyOptions>();
@@ -219,14 +222,16 @@
     ->required();
   command->add_option("--base",
                       options->base_,
-                      "the generation that the file was made from, as `show` "
-                      "printed it; left out for the first of all");
-  command->add_option("--author", options->author_, "a name for the history")
+                      "the generation that the file is based on, as printed by "
+                      "`show`; omitted for the first configuration");
+  command
+    ->add_option(
+      "--author", options->author_, "the author that the history shows")
     ->check([](const std::string& aName) {
-      const bool plain =
+      const bool isValid =
         aName.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRST"
                                 "UVWXYZ0123456789-_.") == std::string::npos;
-      return plain ? "" : "letters, digits and -_. only";
+      return isValid ? "" : "only letters, digits and -_. are allowed";
     });
   command->add_flag(
     "--wait", options->wait_, "wait until it is in force on all live hosts");
@@ -259,8 +264,8 @@
     aSink([historyHost] { return History(*historyHost); });
   });
 
-  CLI::App* diff =
-    aApp.add_subcommand("diff", "Print what changed between two generations");
+  CLI::App* diff = aApp.add_subcommand(
+    "diff", "Print the differences between two generations");
   diff->footer("Example: gooseberrylift diff 6 7 --host 127.0.0.1:9001");
   auto diffHost = AddHostOptions(diff);
   auto range = std::make_shared<std::pair<std::uint64_t, std::uint64_t>>();
--- a/src/cli/gooseberrylift-drain.cc
+++ b/src/cli/gooseberrylift-drain.cc
@@ -13,20 +13,21 @@
 
 namespace {
 
-// Prints each host's answer and ends with the first fault, if any.
-leaf::result<void> Tell(const AdminOptions& aOptions,
-                        const HttpRequest& aRequest)
+// Sends a request to all hosts, prints their responses and returns the combined
+// error of the hosts that failed, if any.
+leaf::result<void> QueryAndPrint(const AdminOptions& aOptions,
+                                 const HttpRequest& aRequest)
 {
-  const auto answers = AskHosts(aOptions, aRequest);
+  const auto answers = QueryHosts(aOptions, aRequest);
   nlohmann::json items = nlohmann::json::array();
   for (const AdminAnswer& answer : answers) {
-    const std::string text =
-      answer.IsGood() ? answer.response_.value().body_ : answer.Fault() + "\n";
+    const std::string text = answer.IsSuccess() ? answer.response_.value().body_
+                                                : answer.ErrorText() + "\n";
     if (aOptions.IsJson()) {
       items.push_back({ { "host", answer.address_ },
-                        { "done", answer.IsGood() },
+                        { "done", answer.IsSuccess() },
                         { "answer", text } });
-    } else if (answer.IsGood()) {
+    } else if (answer.IsSuccess()) {
       std::cout << answer.address_ << ": " << text
                 << (text.ends_with('\n') ? "" : "\n");
     }
@@ -35,7 +36,7 @@
     std::cout << items.dump(2) << '\n';
   }
   std::cout << std::flush;
-  return EndWith(answers);
+  return ToResult(answers);
 }
 
 } // namespace
@@ -43,12 +44,13 @@
 void AddDrainCommand(CLI::App& aApp, const CommandSink& aSink)
 {
   CLI::App* command =
-    aApp.add_subcommand("drain", "Stop hosts in good order, as SIGTERM does");
+    aApp.add_subcommand("drain", "Shut hosts down gracefully, as SIGTERM does");
   command->footer("Example: gooseberrylift drain --hosts 10.0.0.1:8081");
   const auto options = AddAdminOptions(*command);
   command->callback([options, aSink] {
-    aSink(
-      [options] { return Tell(*options, MakeRequest("POST", "/drain", "")); });
+    aSink([options] {
+      return QueryAndPrint(*options, MakeRequest("POST", "/drain", ""));
+    });
   });
 }
 
@@ -61,14 +63,16 @@
                   "  gooseberrylift log requests debug --hosts 10.0.0.1:8081");
   auto component = std::make_shared<std::string>();
   auto level = std::make_shared<std::string>();
-  CLI::Option* named = command->add_option(
-    "component", *component, "a component, or all; none shows the levels");
+  CLI::Option* named =
+    command->add_option("component",
+                        *component,
+                        "a component, or all; shows the levels when omitted");
   command->add_option("level", *level, "debug, info, warning or error")
     ->needs(named);
   const auto options = AddAdminOptions(*command);
   command->callback([component, level, options, aSink] {
     aSink([component, level, options] {
-      return Tell(
+      return QueryAndPrint(
         *options,
         component->empty()
           ? MakeRequest("/log")
--- a/src/cli/gooseberrylift-explain.cc
+++ b/src/cli/gooseberrylift-explain.cc
@@ -17,10 +17,9 @@
 
 namespace {
 
-// Gives the log lines of a request, of whatever hosts, in the order of their
-// times. Lines that are no JSON, such as those of other programs, are passed
-// over.
-std::vector<json> LinesOf(const std::string& aId, std::istream& aIn)
+// Returns the log lines of a request from all hosts, ordered by time. Lines
+// that are not JSON, such as those of other programs, are skipped.
+std::vector<json> ReadRequestLines(const std::string& aId, std::istream& aIn)
 {
   std::vector<json> lines;
   std::string text;
@@ -49,14 +48,14 @@
       return info.meaning_;
     }
   }
-  return "An event that this version does not know.";
+  return "An event unknown to this version.";
 }
 
-void Print(json aLine, std::int64_t aFirst)
+void Print(json aLine, std::int64_t aFirstMs)
 {
   const int event = aLine.value("event", 0);
-  std::cout << "+" << aLine.value("at_ms", std::int64_t{ 0 }) - aFirst << " ms "
-            << aLine.value("host", "?") << ": " << event << " "
+  std::cout << "+" << aLine.value("at_ms", std::int64_t{ 0 }) - aFirstMs
+            << " ms " << aLine.value("host", "?") << ": " << event << " "
             << aLine.value("name", "?") << "\n    " << MeaningOf(event) << "\n";
   if (aLine.contains("code")) {
     const ResultInfo& info =
@@ -72,11 +71,12 @@
 
 leaf::result<void> Explain(const std::string& aId)
 {
-  const std::vector<json> lines = LinesOf(aId, std::cin);
+  const std::vector<json> lines = ReadRequestLines(aId, std::cin);
   if (lines.empty()) {
     return leaf::new_error(MakeError(ResultCode::kRequestNotLogged,
-                                     "no line of request " + aId +
-                                       "; are the logs of all hosts here?"));
+                                     "no log line of request " + aId +
+                                       "; check that the logs of all hosts are "
+                                       "included"));
   }
   const auto first = lines.front().value("at_ms", std::int64_t{ 0 });
   for (const json& line : lines) {
@@ -91,7 +91,7 @@
 void AddExplainCommand(CLI::App& aApp, const CommandSink& aSink)
 {
   CLI::App* command = aApp.add_subcommand(
-    "explain", "Tell from the logs of all hosts what decided a request");
+    "explain", "Show how a request was handled, from the logs of all hosts");
   command->footer(
     "Example: cat *.log | gooseberrylift explain 73361362a94cae68");
   auto id = std::make_shared<std::string>();
--- a/src/cli/gooseberrylift-report.cc
+++ b/src/cli/gooseberrylift-report.cc
@@ -15,28 +15,28 @@
 
 leaf::result<void> ReportBurn(const AdminOptions& aOptions)
 {
-  const auto answers = AskHosts(aOptions, MakeRequest("/report/burn"));
+  const auto answers = QueryHosts(aOptions, MakeRequest("/report/burn"));
   BurnDocument merged;
-  std::vector<std::string> silent;
+  std::vector<std::string> unresponsive;
   for (const AdminAnswer& answer : answers) {
-    const auto document = answer.IsGood()
+    const auto document = answer.IsSuccess()
                             ? ParseBurnDocument(answer.response_.value().body_)
                             : std::nullopt;
     if (document) {
       MergeBurnDocument(merged, *document);
     } else {
-      silent.push_back(answer.address_);
+      unresponsive.push_back(answer.address_);
     }
   }
   if (merged.hosts_.empty()) {
-    return leaf::new_error(FaultOf(answers));
+    return leaf::new_error(CombineErrors(answers));
   }
-  std::cout << (aOptions.IsJson() ? BurnReportJson(merged, silent)
-                                  : BurnReportText(merged, silent))
+  std::cout << (aOptions.IsJson() ? BurnReportJson(merged, unresponsive)
+                                  : BurnReportText(merged, unresponsive))
             << std::flush;
-  if (!silent.empty()) {
+  if (!unresponsive.empty()) {
     return leaf::new_error(Error{ .code_ = ResultCode::kReportPartial,
-                                  .text_ = FaultOf(answers).text_ });
+                                  .text_ = CombineErrors(answers).text_ });
   }
   return {};
 }
@@ -46,12 +46,13 @@
 void AddReportCommand(CLI::App& aApp, const CommandSink& aSink)
 {
   CLI::App* report =
-    aApp.add_subcommand("report", "Reports gathered from all hosts");
+    aApp.add_subcommand("report", "Reports aggregated over all hosts");
   report->require_subcommand(1);
   report->footer(
     "Example: gooseberrylift report burn --hosts 10.0.0.1:8081,10.0.0.2:8081");
   CLI::App* burn = report->add_subcommand(
-    "burn", "How fast each team's error budgets are spent, worst first");
+    "burn",
+    "How fast each team's error budgets are spent, highest burn rate first");
   burn->footer("Examples:\n"
                "  gooseberrylift report burn --hosts 10.0.0.1:8081\n"
                "  GOOSEBERRYLIFT_HOSTS=10.0.0.1:8081,10.0.0.2:8081 \\\n"
--- a/src/cli/gooseberrylift-status.cc
+++ b/src/cli/gooseberrylift-status.cc
@@ -16,12 +16,12 @@
 
 namespace {
 
-const std::set<std::string> kShownApart = { "pools",
-                                            "endpoints",
-                                            "failures",
-                                            "peers" };
+const std::set<std::string> kSeparateSections = { "pools",
+                                                  "endpoints",
+                                                  "failures",
+                                                  "peers" };
 
-// A field as text, whatever its type; "-" when it is missing.
+// Returns a field of any type as text, or "-" when it is missing.
 std::string Cell(const json& aItem, const char* aName)
 {
   const auto field = aItem.find(aName);
@@ -36,8 +36,9 @@
   return aItem.value(aName, false) ? "yes" : "no";
 }
 
-// Hosts that were not asked, as their peers last heard of them.
-void AddUnaskedPeers(const std::vector<json>& aHosts, TextTable& aTable)
+// Adds rows for hosts that were not queried, from the state that their peers
+// last received.
+void AddUnqueriedPeers(const std::vector<json>& aHosts, TextTable& aTable)
 {
   std::set<std::string> shown;
   for (const json& host : aHosts) {
@@ -53,7 +54,7 @@
                      Cell(peer, "generation"),
                      peer.value("store_reachable", false) ? "reached" : "lost",
                      "-",
-                     "not asked; heard of by " + Cell(host, "host") });
+                     "not queried; reported by " + Cell(host, "host") });
       }
     }
   }
@@ -79,11 +80,12 @@
                 Cell(host, "why_not_ready") });
   }
   for (const AdminAnswer& answer : aAnswers) {
-    if (!answer.IsGood()) {
-      table.Add({ answer.address_, "-", "no", "-", "-", "-", answer.Fault() });
+    if (!answer.IsSuccess()) {
+      table.Add(
+        { answer.address_, "-", "no", "-", "-", "-", answer.ErrorText() });
     }
   }
-  AddUnaskedPeers(aHosts, table);
+  AddUnqueriedPeers(aHosts, table);
   return "Hosts\n" + table.Text();
 }
 
@@ -103,7 +105,8 @@
   return "\nQueues\n" + table.Text();
 }
 
-// Endpoints as the hosts see them; where hosts differ, each view gets a row.
+// Lists the endpoints as the hosts see them. An endpoint whose state differs
+// between hosts gets a row for each state.
 std::string EndpointsText(const std::vector<json>& aHosts)
 {
   struct Row
@@ -147,7 +150,7 @@
                     { "NAME" },
                     { "COUNT", true },
                     { "MEANING" } });
-  bool any = false;
+  bool hasRows = false;
   for (const json& host : aHosts) {
     const json failures = host.value("failures", json::array());
     for (const json& failure : failures) {
@@ -156,57 +159,62 @@
                   Cell(failure, "name"),
                   Cell(failure, "count"),
                   Cell(failure, "meaning") });
-      any = true;
+      hasRows = true;
     }
   }
-  return any ? "\nRequests refused or failed since the start\n" + table.Text()
-             : "";
+  return hasRows
+           ? "\nRequests refused or failed since the start\n" + table.Text()
+           : "";
 }
 
-// Sections that parts add to the status: one line for each of their fields.
-std::string OthersText(const std::vector<json>& aHosts)
+// Lists the remaining sections of the status, one row for each section of a
+// host.
+std::string OtherSectionsText(const std::vector<json>& aHosts)
 {
   TextTable table({ { "HOST" }, { "SECTION" }, { "VALUE" } });
-  bool any = false;
+  bool hasRows = false;
   for (const json& host : aHosts) {
     for (const auto& [name, value] : host.items()) {
-      if (!kShownApart.contains(name) && value.is_structured() &&
+      if (!kSeparateSections.contains(name) && value.is_structured() &&
           !value.empty()) {
         table.Add({ Cell(host, "host"), name, value.dump() });
-        any = true;
+        hasRows = true;
       }
     }
   }
-  return any ? "\nMore (whole with --output json)\n" + table.Text() : "";
+  return hasRows
+           ? "\nOther sections (in full with --output json)\n" + table.Text()
+           : "";
 }
 
 leaf::result<void> Status(const AdminOptions& aOptions)
 {
-  const auto answers = AskHosts(aOptions, MakeRequest("/status"));
+  const auto answers = QueryHosts(aOptions, MakeRequest("/status"));
   std::vector<json> hosts;
-  json silent = json::array();
+  json unresponsive = json::array();
   for (const AdminAnswer& answer : answers) {
-    json host = answer.IsGood()
+    json host = answer.IsSuccess()
                   ? json::parse(answer.response_.value().body_, nullptr, false)
                   : json();
     if (host.is_object()) {
       host["admin_address"] = answer.address_;
       hosts.push_back(std::move(host));
     } else {
-      silent.push_back(
-        { { "host", answer.address_ }, { "fault", answer.Fault() } });
+      unresponsive.push_back(
+        { { "host", answer.address_ }, { "fault", answer.ErrorText() } });
     }
   }
   if (aOptions.IsJson()) {
-    const json status = { { "hosts", hosts }, { "silent_hosts", silent } };
+    const json status = { { "hosts", hosts },
+                          { "silent_hosts", unresponsive } };
     std::cout << status.dump(2) << '\n';
   } else {
     std::cout << HostsText(hosts, answers) << QueuesText(hosts)
               << FailuresText(hosts) << EndpointsText(hosts)
-              << OthersText(hosts);
+              << OtherSectionsText(hosts);
   }
   std::cout << std::flush;
-  return EndWith(answers);
+  return ToResult(answers);
 }
 
 } // namespace
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,5 +1,5 @@
-// The one binary: reads the command line, runs the chosen subcommand and makes
-// its result code the exit status.
+// Entry point of the binary: parses the command line, runs the selected
+// subcommand and returns its result code as the exit status.
 
 #include "gooseberrylift-command.h"
 
@@ -17,7 +17,7 @@
 leaf::result<std::string> ReadTextFile(const std::string& aPath,
                                        ResultCode aCode)
 {
-  // JSON itself in place of a file, for tools that start many hosts.
+  // JSON text in place of a path, for tools that start many hosts.
   if (aPath.starts_with("{")) {
     return aPath;
   }
@@ -81,8 +81,8 @@
   CLI::App app("A serving layer for language model requests");
   app.require_subcommand(1);
   app.footer("Each subcommand has --help with examples. The exit status is the "
-             "result code,\nwhich goes to standard error with its name and "
-             "text; docs/RESULT-CODES.md.");
+             "result code,\nwhich is printed to standard error with its name "
+             "and text; see docs/RESULT-CODES.md.");
   CommandBody body;
   const gooseberrylift::CommandSink sink = [&body](CommandBody aBody) {
     body = std::move(aBody);
