--- a/src/front/gooseberrylift-caller-front.cc
+++ b/src/front/gooseberrylift-caller-front.cc
@@ -125,7 +125,7 @@
   // Writes the tokens of one received chunk in a single write, without waiting
   // for the next chunk. Tokens of a chunk that turned out to be faulty stay
   // buffered and are written with those of the next attempt.
-  asio::awaitable<bool> OnPause() override
+  asio::awaitable<bool> Flush() override
   {
     if (pendingEvents_.empty()) {
       co_return true;
@@ -141,7 +141,7 @@
   asio::awaitable<void> Finish()
   {
     pendingEvents_ += "data: [DONE]\n\n";
-    const bool sent = co_await OnPause();
+    const bool sent = co_await Flush();
     if (sent) {
       co_await exchange_.Finish();
     }
@@ -430,11 +430,11 @@
                   .target_ = std::move(target),
                   .fields_ = std::move(fields),
                   .body_ = std::move(request.body_) },
-    .repeatable_ = service->repeatableMethods_.contains(request.method_),
+    .retryable_ = service->repeatableMethods_.contains(request.method_),
   };
   aExchange.SetDeadline(call.info_.deadline_);
   const std::string key(request.Field("Idempotency-Key"));
-  if (!call.repeatable_ && !key.empty()) {
+  if (!call.retryable_ && !key.empty()) {
     co_return co_await HandleIdempotent(aExchange, std::move(call), key);
   }
   auto answer = co_await parts_.services_.Run(std::move(call));
--- a/src/front/gooseberrylift-config-admin.cc
+++ b/src/front/gooseberrylift-config-admin.cc
@@ -234,7 +234,7 @@
     co_return written.error();
   }
   Log(LogEvent::kConfigurationAccepted, { { "generation", *generation } });
-  follower_.OfferText(*generation, text, ConfigSource::kOperator);
+  follower_.ApplyTextIfNewer(*generation, text, ConfigSource::kOperator);
   const auto executor = co_await asio::this_coro::executor;
   SpawnTask(executor, DeleteOldestArchived(*generation, deadline));
   co_return *generation;
--- a/src/front/gooseberrylift-job-front.cc
+++ b/src/front/gooseberrylift-job-front.cc
@@ -141,19 +141,19 @@
     co_return MakeError(ResultCode::kBadField,
                         "Idempotency-Key: must be at most 255 bytes");
   }
-  if (!runner_.HasRoom(aTeam)) {
+  if (!runner_.CanAddJob(aTeam)) {
     Error full = MakeError(ResultCode::kJobTeamFull);
     full.retryAfter_ = std::chrono::seconds(10);
     co_return full;
   }
   JobRequest& request = parsed.value();
   StoredJob job;
-  job.id_ =
-    ToHex(key.empty() ? DigestOf({ MakeNonce() }) : DigestOf({ aTeam, key }));
+  job.id_ = ToHex(key.empty() ? ComputeDigest({ MakeNonce() })
+                              : ComputeDigest({ aTeam, key }));
   job.record_.team_ = aTeam;
   job.record_.target_ = request.target_;
   job.record_.digest_ =
-    EncodeBase64(DigestOf({ request.target_, request.text_ }));
+    EncodeBase64(ComputeDigest({ request.target_, request.text_ }));
   job.record_.expires_ = std::chrono::system_clock::now() + options_.retention_;
   const auto stored = co_await Store(std::move(job), std::move(request.text_));
   if (!stored) {
--- a/src/host/gooseberrylift-entry-host.cc
+++ b/src/host/gooseberrylift-entry-host.cc
@@ -78,12 +78,12 @@
         .client_ = client_,
         .executor_ = context_.get_executor(),
         .own_ = [this] { return DigestOf(board_); },
-        .publish_ =
+        .onPeersChanged_ =
           [this](const PeersState& aPeers) { board_.peers_.Write(aPeers); },
         .configuration_ = [this] { return OfferedBy(board_); },
         .offer_ =
           [this](const OfferedConfiguration& aOffered) {
-            configFollower_.OfferText(
+            configFollower_.ApplyTextIfNewer(
               aOffered.generation_, aOffered.text_, ConfigSource::kPeer);
           } },
       PeerExchange::Options{})
@@ -121,7 +121,7 @@
           models_,
           board_,
           context_.get_executor(),
-          { .lease_ = settings_.jobLease_ })
+          { .leaseDuration_ = settings_.jobLease_ })
   , jobFront_(store_, jobs_, JobFront::Options{})
   , callerFront_({ .board_ = board_,
                    .models_ = models_,
@@ -207,7 +207,7 @@
   }
   peers_.Start(peerPort.value(), settings_.peerKeys_);
   board_.configuration_.Subscribe(
-    [this](const auto& /*aSnapshot*/) { peers_.TellNews(); });
+    [this](const auto& /*aSnapshot*/) { peers_.AnnounceConfiguration(); });
   Log(LogEvent::kStarted,
       { { "caller_port", callerPort.value() },
         { "admin_port", adminPort.value() },
