--- a/include/gooseberrylift/internal/gooseberrylift-admin-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-admin-api.h
@@ -1,8 +1,8 @@
 // HTTP handler of the admin port, used by operators, the load balancer and the
 // metrics collector.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
 
 #include <functional>
 #include <map>
@@ -24,7 +24,7 @@
 //
 // /healthz and /readyz need no authentication. All other routes require one of
 // the admin keys, if the settings define any.
-class AdminFront
+class AdminApi
 {
 public:
   struct Parts
@@ -35,7 +35,7 @@
     Metrics& metrics_;
   };
 
-  explicit AdminFront(Parts aParts);
+  explicit AdminApi(Parts aParts);
 
   /// Adds a route. Must not be called after the first request.
   void Add(const std::string& aMethod,
@@ -61,4 +61,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-caller-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-caller-api.h
@@ -1,7 +1,7 @@
 // HTTP handler of the caller port: model requests, plain services and jobs.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 #include "gooseberrylift/internal/gooseberrylift-burn-recorder.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-job-front.h"
+#include "gooseberrylift/internal/gooseberrylift-job-api.h"
 #include "gooseberrylift/internal/gooseberrylift-model-runner.h"
 #include "gooseberrylift/internal/gooseberrylift-once-runner.h"
 #include "gooseberrylift/internal/gooseberrylift-service-runner.h"
@@ -36,7 +36,7 @@
 
 // Answers every request exactly once: with a complete response, a stream, or an
 // error with its result code. Keeps no state between requests; thread-safe.
-class CallerFront
+class CallerApi
 {
 public:
   struct Parts
@@ -45,19 +45,19 @@
     ModelRunner& models_;
     ServiceRunner& services_;
     OnceRunner& once_;
-    JobFront& jobs_;
+    JobApi& jobs_;
     Metrics& metrics_;
     BurnRecorder& burn_;
   };
 
-  explicit CallerFront(Parts aParts);
+  explicit CallerApi(Parts aParts);
 
   /// Handles one request of the HTTP server.
   boost::asio::awaitable<void> Handle(HttpExchange& aExchange);
 
 private:
   using Handler = boost::asio::awaitable<Outcome<void>> (
-    CallerFront::*)(HttpExchange& aExchange, const RequestContext& aRequest);
+    CallerApi::*)(HttpExchange& aExchange, const RequestContext& aRequest);
   struct Route;
   static const Route kRoutes[];
 
@@ -86,4 +86,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-config-admin.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-api.h
@@ -1,14 +1,14 @@
 // Admin routes for the configuration. A change that an operator submits becomes
 // the next generation in the object store.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
 
 #include <chrono>
 #include <string>
 
 #include "gooseberrylift/gooseberrylift-config-change.h"
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 #include "gooseberrylift/internal/gooseberrylift-config-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-store.h"
 
@@ -28,7 +28,7 @@
 // searched for the change's nonce. An accepted change is applied on this host
 // at once and sent to peers, so that its distribution no longer depends on the
 // store.
-class ConfigAdmin
+class ConfigApi
 {
 public:
   struct Options
@@ -38,13 +38,13 @@
     std::chrono::milliseconds retryDelay_{ 100 }; // between store attempts
   };
 
-  ConfigAdmin(ObjectStore& aStore,
-              ConfigFollower& aFollower,
-              Blackboard& aBoard,
-              Options aOptions);
+  ConfigApi(ObjectStore& aStore,
+            ConfigFollower& aFollower,
+            Blackboard& aBoard,
+            Options aOptions);
 
   /// Adds the routes.
-  void AddRoutes(AdminFront& aFront);
+  void AddRoutes(AdminApi& aAdminApi);
 
 private:
   boost::asio::awaitable<void> HandleCurrent(HttpExchange& aExchange);
@@ -82,4 +82,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-job-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-api.h
@@ -1,7 +1,7 @@
 // HTTP handler of the jobs API: create, read and delete jobs.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
 
 #include <chrono>
 #include <string>
@@ -25,7 +25,7 @@
 // DELETE /v1/jobs/{id}
 //
 // Keeps no state between requests; thread-safe.
-class JobFront
+class JobApi
 {
 public:
   struct Options
@@ -35,7 +35,7 @@
     std::chrono::hours retention_{ 24 };
   };
 
-  JobFront(ObjectStore& aStore, JobRunner& aRunner, Options aOptions);
+  JobApi(ObjectStore& aStore, JobRunner& aRunner, Options aOptions);
 
   /// Answers a request on one of the paths.
   /// @param aTeam the name of the caller's team
@@ -63,4 +63,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
--- a/src/front/gooseberrylift-admin-front.cc
+++ b/src/front/gooseberrylift-admin-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 
 #include <algorithm>
 
@@ -76,7 +76,7 @@
 
 } // namespace
 
-AdminFront::AdminFront(Parts aParts)
+AdminApi::AdminApi(Parts aParts)
   : parts_(aParts)
 {
   Add("GET", "/healthz", [](HttpExchange& aExchange) -> asio::awaitable<void> {
@@ -99,14 +99,14 @@
       });
 }
 
-void AdminFront::Add(const std::string& aMethod,
-                     const std::string& aPath,
-                     HttpHandler aHandler)
+void AdminApi::Add(const std::string& aMethod,
+                   const std::string& aPath,
+                   HttpHandler aHandler)
 {
   routes_[aPath][aMethod] = std::move(aHandler);
 }
 
-asio::awaitable<void> AdminFront::Handle(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::Handle(HttpExchange& aExchange)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string path(request.Path());
@@ -132,7 +132,7 @@
   co_await route->second(aExchange);
 }
 
-std::string AdminFront::NotReadyReason() const
+std::string AdminApi::NotReadyReason() const
 {
   if (parts_.board_.host_.Read()->draining_) {
     return "draining";
@@ -155,7 +155,7 @@
   return {};
 }
 
-bool AdminFront::IsAllowed(const HttpRequest& aRequest) const
+bool AdminApi::IsAllowed(const HttpRequest& aRequest) const
 {
   if (parts_.settings_.adminKeys_.empty()) {
     return true; // Settings allows this on the loopback address only
@@ -173,7 +173,7 @@
     });
 }
 
-asio::awaitable<void> AdminFront::HandleReady(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::HandleReady(HttpExchange& aExchange)
 {
   const std::string reason = NotReadyReason();
   const std::string text = reason.empty() ? "ready" : reason;
@@ -181,7 +181,7 @@
     TextResponse(reason.empty() ? 200 : 503, text + "\n"));
 }
 
-std::string AdminFront::StatusText() const
+std::string AdminApi::StatusText() const
 {
   const auto configuration =
     parts_.board_.configuration_.Read()->configuration_;
@@ -213,7 +213,7 @@
   return status.dump();
 }
 
-asio::awaitable<void> AdminFront::HandleStatus(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::HandleStatus(HttpExchange& aExchange)
 {
   co_await aExchange.Send(JsonResponse(200, StatusText()));
 }
--- a/src/front/gooseberrylift-caller-kept.cc
+++ b/src/front/gooseberrylift-caller-api-stored.cc
@@ -1,14 +1,14 @@
-// The handlers of CallerFront whose results are persisted in the object store:
+// The handlers of CallerApi whose results are persisted in the object store:
 // jobs, and service calls with an Idempotency-Key.
 
-#include "gooseberrylift/internal/gooseberrylift-caller-front.h"
+#include "gooseberrylift/internal/gooseberrylift-caller-api.h"
 #include "gooseberrylift/internal/gooseberrylift-forward-fields.h"
 
 namespace gooseberrylift {
 
 namespace asio = boost::asio;
 
-asio::awaitable<Outcome<void>> CallerFront::HandleJobs(
+asio::awaitable<Outcome<void>> CallerApi::HandleJobs(
   HttpExchange& aExchange,
   const RequestContext& aRequest)
 {
@@ -16,7 +16,7 @@
     aExchange, aRequest.configuration_, aRequest.team_->name_);
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleIdempotent(
+asio::awaitable<Outcome<void>> CallerApi::HandleIdempotent(
   HttpExchange& aExchange,
   ServiceCall aCall,
   std::string aKey)
--- a/src/front/gooseberrylift-caller-front.cc
+++ b/src/front/gooseberrylift-caller-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-caller-front.h"
+#include "gooseberrylift/internal/gooseberrylift-caller-api.h"
 
 #include <algorithm>
 #include <charconv>
@@ -240,7 +240,7 @@
 
 } // namespace
 
-struct CallerFront::Route
+struct CallerApi::Route
 {
   std::string_view path_;
   bool isPrefix_;
@@ -248,20 +248,20 @@
   Handler handler_;
 };
 
-const CallerFront::Route CallerFront::kRoutes[] = {
-  { "/v1/chat/completions", false, "POST", &CallerFront::HandleModel },
-  { "/v1/completions", false, "POST", &CallerFront::HandleModel },
-  { kServicesPrefix, true, "", &CallerFront::HandleService },
-  { kJobsPath, false, "", &CallerFront::HandleJobs },
-  { kJobsPrefix, true, "", &CallerFront::HandleJobs },
+const CallerApi::Route CallerApi::kRoutes[] = {
+  { "/v1/chat/completions", false, "POST", &CallerApi::HandleModel },
+  { "/v1/completions", false, "POST", &CallerApi::HandleModel },
+  { kServicesPrefix, true, "", &CallerApi::HandleService },
+  { kJobsPath, false, "", &CallerApi::HandleJobs },
+  { kJobsPrefix, true, "", &CallerApi::HandleJobs },
 };
 
-CallerFront::CallerFront(Parts aParts)
+CallerApi::CallerApi(Parts aParts)
   : parts_(aParts)
 {
 }
 
-asio::awaitable<void> CallerFront::Handle(HttpExchange& aExchange)
+asio::awaitable<void> CallerApi::Handle(HttpExchange& aExchange)
 {
   BurnObservation burn;
   RequestContext request{ .id_ = MakeRequestId(),
@@ -294,8 +294,8 @@
   co_await SendFailure(aExchange, request, std::move(error));
 }
 
-asio::awaitable<Outcome<void>> CallerFront::Dispatch(HttpExchange& aExchange,
-                                                     RequestContext& aRequest)
+asio::awaitable<Outcome<void>> CallerApi::Dispatch(HttpExchange& aExchange,
+                                                   RequestContext& aRequest)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
@@ -327,7 +327,7 @@
   co_return co_await (this->*route->handler_)(aExchange, aRequest);
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleModel(
+asio::awaitable<Outcome<void>> CallerApi::HandleModel(
   HttpExchange& aExchange,
   const RequestContext& aRequest)
 {
@@ -384,17 +384,17 @@
     co_return done.error();
   }
   HttpResponse response = JsonResponse(200,
-                                       WholeModelAnswer(model,
-                                                        aRequest.id_,
-                                                        sink.text_,
-                                                        sink.finishReason_,
-                                                        done.value().tokens_));
+                                       MakeModelResponse(model,
+                                                         aRequest.id_,
+                                                         sink.text_,
+                                                         sink.finishReason_,
+                                                         done.value().tokens_));
   response.fields_.push_back({ "X-Request-Id", aRequest.id_ });
   co_await aExchange.Send(std::move(response));
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleService(
+asio::awaitable<Outcome<void>> CallerApi::HandleService(
   HttpExchange& aExchange,
   const RequestContext& aRequest)
 {
@@ -450,7 +450,7 @@
   co_return forwarded;
 }
 
-void CallerFront::RecordBurn(const RequestContext& aRequest, ResultCode aCode)
+void CallerApi::RecordBurn(const RequestContext& aRequest, ResultCode aCode)
 {
   if (aRequest.burn_->service_ != nullptr) {
     parts_.burn_.Record(
@@ -458,9 +458,9 @@
   }
 }
 
-asio::awaitable<void> CallerFront::SendFailure(HttpExchange& aExchange,
-                                               const RequestContext& aRequest,
-                                               Error aError)
+asio::awaitable<void> CallerApi::SendFailure(HttpExchange& aExchange,
+                                             const RequestContext& aRequest,
+                                             Error aError)
 {
   const int code = static_cast<int>(aError.code_);
   AddRetryAfter(aExchange.Request(), aError);
--- a/src/front/gooseberrylift-config-admin.cc
+++ b/src/front/gooseberrylift-config-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-config-admin.h"
+#include "gooseberrylift/internal/gooseberrylift-config-api.h"
 
 #include <algorithm>
 #include <charconv>
@@ -96,10 +96,10 @@
 
 } // namespace
 
-ConfigAdmin::ConfigAdmin(ObjectStore& aStore,
-                         ConfigFollower& aFollower,
-                         Blackboard& aBoard,
-                         Options aOptions)
+ConfigApi::ConfigApi(ObjectStore& aStore,
+                     ConfigFollower& aFollower,
+                     Blackboard& aBoard,
+                     Options aOptions)
   : store_(aStore)
   , follower_(aFollower)
   , board_(aBoard)
@@ -107,27 +107,29 @@
 {
 }
 
-void ConfigAdmin::AddRoutes(AdminFront& aFront)
+void ConfigApi::AddRoutes(AdminApi& aAdminApi)
 {
-  aFront.Add("GET", "/configuration", [this](HttpExchange& aExchange) {
+  aAdminApi.Add("GET", "/configuration", [this](HttpExchange& aExchange) {
     return HandleCurrent(aExchange);
   });
-  aFront.Add("POST", "/configuration", [this](HttpExchange& aExchange) {
+  aAdminApi.Add("POST", "/configuration", [this](HttpExchange& aExchange) {
     return HandleApply(aExchange);
   });
-  aFront.Add("GET", "/configuration/history", [this](HttpExchange& aExchange) {
-    return HandleHistory(aExchange);
-  });
-  aFront.Add(
+  aAdminApi.Add(
+    "GET", "/configuration/history", [this](HttpExchange& aExchange) {
+      return HandleHistory(aExchange);
+    });
+  aAdminApi.Add(
     "GET", "/configuration/generation", [this](HttpExchange& aExchange) {
       return HandleGeneration(aExchange);
     });
-  aFront.Add("GET", "/configuration/spread", [this](HttpExchange& aExchange) {
-    return HandleHostGenerations(aExchange);
-  });
+  aAdminApi.Add(
+    "GET", "/configuration/spread", [this](HttpExchange& aExchange) {
+      return HandleHostGenerations(aExchange);
+    });
 }
 
-asio::awaitable<void> ConfigAdmin::HandleCurrent(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleCurrent(HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   if (!current) {
@@ -138,7 +140,7 @@
   co_await aExchange.Send(JsonResponse(200, ShowText(*current)));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleApply(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleApply(HttpExchange& aExchange)
 {
   // A change that was started runs to completion even when the caller
   // disconnects, so that an interrupted command leaves the change either
@@ -158,7 +160,7 @@
   co_await aExchange.Send(JsonResponse(200, document.dump()));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleHistory(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleHistory(HttpExchange& aExchange)
 {
   const auto main =
     co_await ReadMain(TimerService::Now() + options_.callTimeout_);
@@ -170,7 +172,7 @@
   co_await aExchange.Send(JsonResponse(200, HistoryText(stored)));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleGeneration(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleGeneration(HttpExchange& aExchange)
 {
   const std::uint64_t number = ParseNumber(aExchange.Request().Query("number"));
   const auto text = co_await ReadGeneration(
@@ -182,15 +184,14 @@
   co_await aExchange.Send(JsonResponse(200, text.value().dump()));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleHostGenerations(
-  HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleHostGenerations(HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   co_await aExchange.Send(JsonResponse(
     200, HostGenerationsText(board_, current ? current->Generation() : 0)));
 }
 
-asio::awaitable<Outcome<std::uint64_t>> ConfigAdmin::ApplyChange(
+asio::awaitable<Outcome<std::uint64_t>> ConfigApi::ApplyChange(
   std::uint64_t aBase,
   std::string aText,
   std::string aAuthor)
@@ -240,9 +241,9 @@
   co_return *generation;
 }
 
-asio::awaitable<Outcome<void>> ConfigAdmin::WriteWithRetry(StoreObject aObject,
-                                                           std::string aNonce,
-                                                           TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigApi::WriteWithRetry(StoreObject aObject,
+                                                         std::string aNonce,
+                                                         TimePoint aDeadline)
 {
   bool mayHaveTakenEffect = false;
   const bool create = aObject.version_.empty();
@@ -276,8 +277,8 @@
 // operator to apply the change again, or to believe it rejected although it
 // takes effect. The nonce in the object's recent changes identifies this
 // host's write, even after other writes followed it.
-asio::awaitable<Outcome<void>> ConfigAdmin::ResolveConflict(std::string aNonce,
-                                                            TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigApi::ResolveConflict(std::string aNonce,
+                                                          TimePoint aDeadline)
 {
   while (true) {
     const auto main = co_await ReadMain(aDeadline);
@@ -295,7 +296,7 @@
   }
 }
 
-asio::awaitable<Outcome<StoreObject>> ConfigAdmin::ReadMain(TimePoint aDeadline)
+asio::awaitable<Outcome<StoreObject>> ConfigApi::ReadMain(TimePoint aDeadline)
 {
   auto read = co_await store_.Read(
     kConfigurationKind, kConfigurationName, CallDeadline(aDeadline));
@@ -308,7 +309,7 @@
 
 // Stores the generation that is about to be replaced before the new one is
 // written, so that the history has no gap even if this host crashes in between.
-asio::awaitable<Outcome<void>> ConfigAdmin::ArchiveReplaced(
+asio::awaitable<Outcome<void>> ConfigApi::ArchiveReplaced(
   StoredConfiguration aReplaced,
   TimePoint aDeadline)
 {
@@ -335,9 +336,8 @@
   }
 }
 
-asio::awaitable<void> ConfigAdmin::DeleteOldestArchived(
-  std::uint64_t aGeneration,
-  TimePoint aDeadline)
+asio::awaitable<void> ConfigApi::DeleteOldestArchived(std::uint64_t aGeneration,
+                                                      TimePoint aDeadline)
 {
   if (aGeneration <= StoredConfiguration::kMaxRecentChanges) {
     co_return;
@@ -349,7 +349,7 @@
     CallDeadline(aDeadline));
 }
 
-asio::awaitable<Outcome<json>> ConfigAdmin::ReadGeneration(
+asio::awaitable<Outcome<json>> ConfigApi::ReadGeneration(
   std::uint64_t aGeneration,
   TimePoint aDeadline)
 {
@@ -378,8 +378,8 @@
   co_return stored.configuration_;
 }
 
-asio::awaitable<Error> ConfigAdmin::MakeConflictError(std::uint64_t aBase,
-                                                      TimePoint aDeadline)
+asio::awaitable<Error> ConfigApi::MakeConflictError(std::uint64_t aBase,
+                                                    TimePoint aDeadline)
 {
   std::uint64_t newest = HighestKnownGeneration();
   const auto main = co_await ReadMain(aDeadline);
@@ -406,7 +406,7 @@
                       text);
 }
 
-std::uint64_t ConfigAdmin::HighestKnownGeneration() const
+std::uint64_t ConfigApi::HighestKnownGeneration() const
 {
   const auto current = board_.configuration_.Read()->configuration_;
   std::uint64_t highest = current ? current->Generation() : 0;
@@ -416,7 +416,7 @@
   return highest;
 }
 
-TimePoint ConfigAdmin::CallDeadline(TimePoint aDeadline) const
+TimePoint ConfigApi::CallDeadline(TimePoint aDeadline) const
 {
   return std::min(aDeadline, TimerService::Now() + options_.callTimeout_);
 }
--- a/src/front/gooseberrylift-job-front.cc
+++ b/src/front/gooseberrylift-job-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-job-front.h"
+#include "gooseberrylift/internal/gooseberrylift-job-api.h"
 
 #include <algorithm>
 
@@ -98,16 +98,16 @@
 
 } // namespace
 
-JobFront::JobFront(ObjectStore& aStore, JobRunner& aRunner, Options aOptions)
+JobApi::JobApi(ObjectStore& aStore, JobRunner& aRunner, Options aOptions)
   : store_(aStore)
   , runner_(aRunner)
   , options_(aOptions)
 {
 }
 
-asio::awaitable<Outcome<void>> JobFront::Handle(HttpExchange& aExchange,
-                                                Configuration::Ptr aConfig,
-                                                std::string aTeam)
+asio::awaitable<Outcome<void>> JobApi::Handle(HttpExchange& aExchange,
+                                              Configuration::Ptr aConfig,
+                                              std::string aTeam)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
@@ -128,9 +128,9 @@
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Add(HttpRequest aRequest,
-                                                     Configuration::Ptr aConfig,
-                                                     std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Add(HttpRequest aRequest,
+                                                   Configuration::Ptr aConfig,
+                                                   std::string aTeam)
 {
   auto parsed = ReadJobRequest(aRequest, *aConfig);
   if (!parsed) {
@@ -164,8 +164,8 @@
 
 // Stores a job, or returns the one that an earlier request with the same
 // Idempotency-Key stored.
-asio::awaitable<Outcome<StoredJob>> JobFront::Store(StoredJob aJob,
-                                                    std::string aText)
+asio::awaitable<Outcome<StoredJob>> JobApi::Store(StoredJob aJob,
+                                                  std::string aText)
 {
   const std::string id = aJob.id_;
   const std::string digest = aJob.record_.digest_;
@@ -200,8 +200,8 @@
 }
 
 // Reads a job of a team. A job of another team is reported as unknown.
-asio::awaitable<Outcome<StoredJob>> JobFront::Find(std::string aId,
-                                                   std::string aTeam)
+asio::awaitable<Outcome<StoredJob>> JobApi::Find(std::string aId,
+                                                 std::string aTeam)
 {
   const bool isHex = std::all_of(aId.begin(), aId.end(), [](char aCharacter) {
     return std::isxdigit(static_cast<unsigned char>(aCharacter)) != 0;
@@ -220,8 +220,8 @@
   co_return job;
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Get(std::string aId,
-                                                     std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Get(std::string aId,
+                                                   std::string aTeam)
 {
   const auto job = co_await Find(std::move(aId), std::move(aTeam));
   if (!job) {
@@ -239,8 +239,8 @@
   co_return MakeJsonResponse(200, view);
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Remove(std::string aId,
-                                                        std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Remove(std::string aId,
+                                                      std::string aTeam)
 {
   const auto job = co_await Find(std::move(aId), std::move(aTeam));
   if (!job) {
--- a/src/runtime/gooseberrylift-job-runner.cc
+++ b/src/runtime/gooseberrylift-job-runner.cc
@@ -346,11 +346,11 @@
   if (!done) {
     co_return done.error();
   }
-  co_return WholeModelAnswer(model,
-                             aClaim->job_.id_,
-                             sink.text_,
-                             sink.finishReason_,
-                             done.value().tokens_);
+  co_return MakeModelResponse(model,
+                              aClaim->job_.id_,
+                              sink.text_,
+                              sink.finishReason_,
+                              done.value().tokens_);
 }
 
 // Stores the result. While the store is unreachable, the result is kept in
