--- a/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
+++ b/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
@@ -1,4 +1,4 @@
-// Which header fields pass from a caller to an endpoint and back.
+// Filters the header fields that a proxy must not forward.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FORWARD_FIELDS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_FORWARD_FIELDS_H_
@@ -7,12 +7,12 @@
 
 namespace gooseberrylift {
 
-/// Gives the fields without those that concern one connection, which a message
-/// may name itself in its Connection field.
+/// Removes hop-by-hop fields, including those that the message lists in its
+/// Connection field.
 HttpFields WithoutConnectionFields(const HttpFields& aFields);
 
-/// Gives the fields without those that concern one connection or that this
-/// host sets itself.
+/// Removes hop-by-hop fields and the fields that this host sets in requests to
+/// endpoints.
 HttpFields WithoutOwnFields(const HttpFields& aFields);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-http-server.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-server.h
@@ -1,6 +1,6 @@
-// A small HTTP/1.1 server on Beast. It guards the process against what callers
-// do wrong or slowly, tells handlers when a caller leaves, and stops without
-// cutting a request.
+// An HTTP/1.1 server built on Boost.Beast. It limits the size of requests and
+// the time that clients may take, notifies handlers when a client disconnects,
+// and shuts down gracefully.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_SERVER_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_SERVER_H_
@@ -25,20 +25,21 @@
 {
   kNone,
   kCallerLeft,
-  kCallerStalled, // read nothing for as long as a write may take
+  kCallerStalled, // a write timed out because the caller read nothing
   kDeadline,
-  kStopping // the host stops before the handler has finished
+  kStopping // the host shuts down before the handler has finished
 };
 
-/// Gives the result code for a handler that was cancelled.
-/// @param aOther for the reasons that have no code of their own
-ResultCode CodeOf(AbortReason aReason, ResultCode aOther);
+/// Returns the result code for a cancelled handler.
+/// @param aDefault returned for the reasons that have no result code
+ResultCode CodeOf(AbortReason aReason, ResultCode aDefault);
 
-// One request and the way to answer it, on the connection's strand. A handler
-// answers once, whole or as a stream. When the caller leaves, the deadline
-// passes or the host stops, whatever the handler awaits ends with
-// operation_aborted; a handler that still wants to answer catches it, resets
-// its cancellation state and looks at Reason().
+// One request and its response. Handlers run on the connection's strand and
+// respond once, either with a complete response or with a stream. When the
+// caller disconnects, the deadline passes or the host shuts down, the operation
+// that the handler awaits fails with operation_aborted. A handler that still
+// has to respond catches the exception, resets its cancellation state and
+// checks Reason().
 class HttpExchange
 {
 public:
@@ -46,37 +47,40 @@
 
   virtual const HttpRequest& Request() const = 0;
 
-  /// Hands out the request so that a large body can be moved on.
+  /// Returns a mutable request, so that a large body can be moved out of it.
   virtual HttpRequest& MutableRequest() = 0;
 
-  /// Gives the caller's address as IP:port.
+  /// Returns the caller's address as IP:port.
   virtual const std::string& Peer() const = 0;
 
-  /// Sends a whole answer.
-  /// @return false when the caller is gone
+  /// Sends a complete response.
+  /// @return false if the response could not be written
   virtual boost::asio::awaitable<bool> Send(HttpResponse aResponse) = 0;
 
-  /// Sends the head of a chunked answer; Write and Finish follow.
+  /// Sends the status and header fields of a chunked response, to be followed
+  /// by calls of Write and Finish.
   virtual boost::asio::awaitable<bool> StartStream(HttpResponse aHead) = 0;
 
-  /// Sends a piece of a stream and returns when the socket took it, so that a
-  /// caller who stops reading holds back the endpoint, not our memory.
-  virtual boost::asio::awaitable<bool> Write(std::string_view aPiece) = 0;
+  /// Sends a chunk of a stream. Completes once the socket has accepted it, so
+  /// that a caller that stops reading slows down the endpoint instead of
+  /// making this process buffer the stream.
+  virtual boost::asio::awaitable<bool> Write(std::string_view aChunk) = 0;
 
-  /// Ends a stream properly. A stream that is not finished is seen as cut.
+  /// Sends the final chunk. Callers treat a stream without it as truncated.
   virtual boost::asio::awaitable<bool> Finish() = 0;
 
-  /// Closes the connection without an answer, or without the rest of one.
+  /// Closes the connection without a response or in the middle of one.
   virtual void Drop() = 0;
 
-  /// Says whether the head of an answer was sent.
+  /// Returns whether sending a response has begun, or the connection was
+  /// closed, so that no other response can be sent.
   virtual bool Started() const = 0;
 
-  /// Cancels the handler at a time, with the reason kDeadline.
+  /// Cancels the handler with the reason kDeadline at the given time.
   virtual void SetDeadline(TimePoint aDeadline) = 0;
 
-  /// Lets the handler run on when the caller leaves, for work that must be
-  /// recorded once begun.
+  /// Lets the handler continue after the caller disconnects, for work whose
+  /// outcome must be recorded once it has begun.
   virtual void KeepRunningWithoutCaller() = 0;
 
   virtual AbortReason Reason() const = 0;
@@ -85,11 +89,12 @@
 using HttpHandler =
   std::function<boost::asio::awaitable<void>(HttpExchange& aExchange)>;
 
-// Serves one address. Connections run on strands of the executor:
+// Listens on one address. Each connection runs on its own strand of the
+// executor:
 //
 //   HttpServer server(executor, { .address_ = "127.0.0.1" }, handler);
-//   server.Listen();           // port 0 picks a free one, see Port()
-//   co_await server.Drain(...) // planned stop
+//   server.Listen();           // port 0 selects a free port, see Port()
+//   co_await server.Drain(...) // graceful shutdown
 class HttpServer
 {
 public:
@@ -113,11 +118,11 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Opens the address and begins to accept.
-  /// @return an error with kListenFailed when the address can't be had
+  /// Binds the address and starts accepting connections.
+  /// @return the port, or kListenFailed if the address can't be bound
   Outcome<std::uint16_t> Listen();
 
-  // What a caller may send, and how long it may take or stay idle.
+  // Size and time limits of requests, and the idle time of connections.
   struct Limits
   {
     std::uint32_t maxHeaderBytes_ = 16 * 1024;
@@ -126,29 +131,30 @@
     std::chrono::milliseconds idleTimeout_{ 75'000 };
   };
 
-  /// Changes the limits for requests that are not being read yet.
+  /// Changes the limits for requests whose reading has not begun.
   void SetLimits(const Limits& aLimits);
 
-  /// Gives the port listened on; 0 before Listen.
+  /// Returns the listening port, or 0 before Listen.
   std::uint16_t Port() const;
 
-  /// Stops in good order: answers carry "Connection: close" from now on; after
-  /// aLag, when the balancer has noticed, the listener and idle connections
-  /// close; then running exchanges are waited for.
-  /// @param aLag how long new requests are still taken
-  /// @param aDeadline when to give up on running exchanges
-  /// @return how many requests were still being read or answered then
-  boost::asio::awaitable<std::size_t> Drain(std::chrono::milliseconds aLag,
-                                            TimePoint aDeadline);
-
-  /// Gives the number of requests that are being read or answered now.
+  /// Shuts down gracefully. Responses carry "Connection: close" from now on.
+  /// After aGracePeriod, in which the load balancer removes this host, closes
+  /// the listener and idle connections and waits for active requests.
+  /// @param aGracePeriod how long new requests are still accepted
+  /// @param aDeadline when to stop waiting for active requests
+  /// @return the number of requests that were still active
+  boost::asio::awaitable<std::size_t> Drain(
+    std::chrono::milliseconds aGracePeriod,
+    TimePoint aDeadline);
+
+  /// Returns the number of requests that are being read or handled.
   std::size_t Active() const;
 
-  /// Cancels every running handler with the reason kStopping, so that callers
-  /// get a final answer.
+  /// Cancels all running handlers with the reason kStopping, so that they can
+  /// still send an error response.
   void Abort();
 
-  /// Closes the listener and every connection at once.
+  /// Closes the listener and all connections immediately.
   void Close();
 
 private:
--- a/include/gooseberrylift/internal/gooseberrylift-http.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http.h
@@ -1,5 +1,5 @@
-// HTTP messages as plain data, so that only the server and the client see
-// Beast.
+// HTTP messages as plain structs, so that only the server and the client depend
+// on Boost.Beast.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_H_
@@ -15,9 +15,9 @@
 
 namespace gooseberrylift {
 
-// A value or an Error, passed by value. LEAF keeps its error objects in the
-// thread's own storage, which a coroutine that resumes on another thread
-// loses; what crosses a co_await therefore uses Boost.Outcome.
+// A value or an Error. Coroutines return Boost.Outcome results because
+// Boost.LEAF stores error objects in thread-local storage, where a coroutine
+// that resumes on another thread would not find them.
 template<typename Value>
 using Outcome = boost::outcome_v2::
   basic_result<Value, Error, boost::outcome_v2::policy::terminate>;
@@ -30,8 +30,8 @@
 
 using HttpFields = std::vector<HttpField>;
 
-/// Finds a header field, ignoring the case of its name.
-/// @return its value; empty when there is none
+/// Finds a header field by its case-insensitive name.
+/// @return the value of the first such field, or an empty string
 std::string_view FindField(const HttpFields& aFields, std::string_view aName);
 
 struct HttpRequest
@@ -46,10 +46,10 @@
     return FindField(fields_, aName);
   }
 
-  /// Gives the target without its query.
+  /// Returns the target without its query.
   std::string_view Path() const;
 
-  /// Finds a parameter of the query, as sent; empty when there is none.
+  /// Returns a query parameter without decoding it, or an empty string.
   std::string_view Query(std::string_view aName) const;
 };
 
@@ -65,31 +65,32 @@
   }
 };
 
-/// Says whether an answer belongs to a request: endpoints echo X-Request-Id.
-/// An answer without the echo is nobody's, since a late or crossed one, such as
-/// a load report's, looks just like it.
+/// Returns whether a response belongs to a request, whose X-Request-Id
+/// endpoints echo. A response without it is rejected, because a late response
+/// or one to another request, such as a load report, can't be told apart from
+/// it.
 bool IsAnswerTo(const HttpResponse& aHead, std::string_view aRequestId);
 
-// gcc 12 destroys a temporary aggregate twice when it stands inside a co_await
-// expression. Coroutines therefore make messages through these functions or in
-// a named variable, never with braces among the arguments.
+// GCC 12 destroys a temporary aggregate in a co_await expression twice.
+// Coroutines must therefore create messages with these functions or in a named
+// variable, not with a braced initializer in an argument list.
 
-/// Makes a request without a body.
+/// Creates a GET request.
 HttpRequest MakeRequest(std::string aTarget);
 
-/// Makes a request with a JSON body.
+/// Creates a request with a JSON body.
 HttpRequest MakeRequest(std::string aMethod,
                         std::string aTarget,
                         std::string aBody);
 
-/// Makes a response with a text body.
+/// Creates a response with a text body.
 HttpResponse TextResponse(int aStatus, std::string aBody);
 
-/// Makes a response with a JSON body.
+/// Creates a response with a JSON body.
 HttpResponse JsonResponse(int aStatus, std::string aBody);
 
-/// Makes the response that carries an error to a caller, with Retry-After in
-/// whole seconds, rounded up, when the error says when to come back.
+/// Creates the response for an error. Sets Retry-After to whole seconds,
+/// rounded up, if the error has a retry delay.
 HttpResponse ErrorResponse(const Error& aError, std::string_view aRequestId);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-tasks.h
+++ b/include/gooseberrylift/internal/gooseberrylift-tasks.h
@@ -1,6 +1,6 @@
-// Background coroutines that a stop can cancel and wait for. Each execution
-// context tracks its own, so that the objects they refer to are destroyed only
-// after they have ended.
+// Background coroutines that can be cancelled and counted at shutdown. Each
+// execution context tracks its own, so that the objects they refer to can be
+// destroyed after they have ended.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_TASKS_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_TASKS_H_
@@ -16,7 +16,7 @@
 
 /// Starts a coroutine in the background. Does nothing once the tasks of the
 /// context have been cancelled.
-/// @param aExecutor where it runs
+/// @param aExecutor the executor that runs it
 /// @param aTask the coroutine
 void SpawnTask(const boost::asio::any_io_executor& aExecutor,
                boost::asio::awaitable<void> aTask);
@@ -26,7 +26,7 @@
 void SpawnTask(const boost::asio::any_io_executor& aExecutor,
                std::function<boost::asio::awaitable<void>()> aTask);
 
-/// Starts a coroutine that CancelTasks does not cancel, such as an order that
+/// Starts a coroutine that CancelTasks does not cancel, such as a request that
 /// releases memory at an engine. The coroutine must limit its own run time.
 void SpawnCleanup(const boost::asio::any_io_executor& aExecutor,
                   boost::asio::awaitable<void> aTask);
@@ -36,7 +36,7 @@
 /// synchronized with the coroutines.
 void CancelTasks(boost::asio::execution_context& aContext);
 
-/// Gives the number of tasks and cleanups of a context that have not ended.
+/// Returns the number of tasks and cleanups of a context that have not ended.
 std::size_t CountTasks(boost::asio::execution_context& aContext);
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-timer-service.h
+++ b/include/gooseberrylift/internal/gooseberrylift-timer-service.h
@@ -1,5 +1,5 @@
-// The one source of time outside the core. Parts subscribe to it and are
-// called back; none keeps a timer or reads a clock of its own.
+// Clocks and timers for the code outside the core, which uses no other timer
+// and reads no clock directly.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_TIMER_SERVICE_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_TIMER_SERVICE_H_
@@ -16,8 +16,8 @@
 
 namespace gooseberrylift {
 
-// Keeps a callback subscribed while it lives. A callback that is already
-// running when the subscription ends may still finish.
+// Owns a timer and cancels it on destruction. A callback that is already
+// running then may still finish.
 class TimerSubscription
 {
 public:
@@ -28,50 +28,49 @@
   TimerSubscription(TimerSubscription&&) = default;
   TimerSubscription& operator=(TimerSubscription&& aOther) noexcept;
 
-  /// Ends the subscription; further calls do nothing.
+  /// Cancels the timer. Further calls have no effect.
   void Cancel();
 
 private:
   std::shared_ptr<State> state_;
 };
 
-// Calls subscribers at a time or again and again, each on the executor that it
-// named:
+// Runs callbacks once or periodically, each on the executor passed with it:
 //
 //   TimerSubscription tick = timers.Every(100ms, executor, [&] { Tick(); });
 //
-// Safe to use from any thread.
+// Thread-safe.
 class TimerService
 {
 public:
   using Callback = std::function<void()>;
 
-  /// Gives the current monotonic time.
+  /// Returns the current monotonic time.
   static TimePoint Now() { return std::chrono::steady_clock::now(); }
 
-  /// Gives the time since the machine started, suspension counted.
+  /// Returns the time since the machine booted, including time in suspension.
   static BootTime BootNow();
 
-  /// Calls back every period, measured from the end of the call before.
-  /// @param aPeriod the pause between two calls
-  /// @param aExecutor where the callback runs
-  /// @param aCallback what to call
-  /// @return the subscription, which must be kept
+  /// Runs a callback periodically.
+  /// @param aPeriod the time between the end of a call and the next call
+  /// @param aExecutor runs the callback
+  /// @param aCallback the function to call
+  /// @return the subscription; destroying it cancels the timer
   [[nodiscard]] static TimerSubscription Every(
     std::chrono::milliseconds aPeriod,
     const boost::asio::any_io_executor& aExecutor,
     Callback aCallback);
 
-  /// Calls back once, at a time or at once when it has passed.
+  /// Runs a callback once, immediately if the given time has passed.
   [[nodiscard]] static TimerSubscription At(
     TimePoint aWhen,
     const boost::asio::any_io_executor& aExecutor,
     Callback aCallback);
 
-  /// Suspends the calling coroutine until a time; cancellation ends it early.
+  /// Suspends the calling coroutine until the given time or its cancellation.
   static boost::asio::awaitable<void> SleepUntil(TimePoint aWhen);
 
-  /// Suspends the calling coroutine for a while.
+  /// Suspends the calling coroutine for a duration or until its cancellation.
   static boost::asio::awaitable<void> SleepFor(
     std::chrono::milliseconds aDuration);
 };
--- a/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
+++ b/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
@@ -1,6 +1,6 @@
-// How the messages of a deployment's platform are spelled. The gateway speaks
-// in the types below; a dialect turns them into header fields and documents
-// and back, and decides nothing.
+// Interface between the gateway and the wire format of a deployment's platform.
+// The gateway uses the types below; a dialect converts them to and from header
+// fields and documents, and makes no decisions.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_WIRE_DIALECT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_WIRE_DIALECT_H_
@@ -18,56 +18,59 @@
 
 namespace gooseberrylift {
 
-// What a caller says of its request beside method, path and body.
+// Metadata of a caller's request from its header fields.
 struct CallerFacts
 {
-  std::string attemptId_; // new with each of the caller's own tries
+  std::string attemptId_; // differs for each retry by the caller
   std::string host_;
   std::string teamKey_;
-  std::optional<std::chrono::milliseconds> patience_; // until it gives up
-  std::uint64_t promptTokens_ = 0; // 0 when the request is no generation
-  std::uint64_t answerTokens_ = 0; // at most
-  std::optional<std::uint64_t> lastEventId_; // of a stream it goes on with
+  // How long the caller waits for the response.
+  std::optional<std::chrono::milliseconds> patience_;
+  std::uint64_t promptTokens_ = 0; // 0 if the request is not a generation
+  std::uint64_t answerTokens_ = 0; // upper bound
+  std::optional<std::uint64_t> lastEventId_; // of the stream to resume
 };
 
-// An engine that reads a part of a prompt for another one.
+// An engine that prefills a part of a prompt for another engine.
 struct PromptHelper
 {
   std::string address_;  // IP:port
-  std::string ticketId_; // of memory set aside there; empty: none
+  std::string ticketId_; // of memory reserved there; empty if none
 };
 
-// What this host adds to a request on its way to an endpoint.
+// Metadata that this host adds to a request to an endpoint.
 struct EndpointSend
 {
-  std::string endpointId_; // any other incarnation must turn it away
-  std::string team_;       // empty when the request needs no key
-  bool hidesKey_ = false;  // the caller's key is for this host only
+  std::string endpointId_; // any other incarnation must reject the request
+  std::string team_;       // empty if the request needs no key
+  bool hidesKey_ = false;  // don't forward the caller's key
   std::chrono::milliseconds remaining_{ 0 };
   std::optional<std::uint64_t> lastEventId_;
-  std::optional<int> urgency_; // 0 is the most urgent, 9 the least
+  std::optional<int> urgency_; // 0 is the highest, 9 the lowest
   std::vector<PromptHelper> helpers_;
 };
 
-// What an endpoint says about an answer, beside its status and body.
+// Metadata of an endpoint's response from its status and header fields.
 struct EndpointFacts
 {
-  std::string attemptId_; // of the request that it answers
-  bool genuine_ = false;  // bears the endpoint's own signature
-  bool notRun_ = false;   // proves that the request was not run
-  bool replaced_ = false; // another incarnation has the address now
-  std::string atFault_;   // address of a helper that failed; empty: none
+  std::string attemptId_; // of the corresponding request
+  bool genuine_ = false;  // has the response stamp of the endpoint
+  // Whether the endpoint guarantees that the request did not run.
+  bool notRun_ = false;
+  // Whether the address belongs to another incarnation now.
+  bool replaced_ = false;
+  std::string atFault_; // IP:port; empty if no helper failed
   AdvertisedRateLimit rate_;
 };
 
-// Where the platform's store keeps what the gateway follows.
+// Kinds and names of the store objects that the gateway watches.
 struct StoreKinds
 {
-  std::string routes_;     // the kind that holds the route document
-  std::string routesName_; // the document's name
-  std::string endpoints_;  // the kind in which endpoints list themselves
-  // The kind with one object for each evacuated availability zone, named after
-  // the zone.
+  std::string routes_;     // kind of the route document
+  std::string routesName_; // name of the route document
+  std::string endpoints_;  // kind of the entries that endpoints register
+  // Kind of the objects that mark evacuated availability zones, one per zone
+  // and named after it.
   std::string evacuations_;
 };
 
@@ -78,43 +81,47 @@
 
   virtual CallerFacts ReadCaller(const HttpRequest& aRequest) const = 0;
 
-  /// Makes the request that goes to an endpoint: the caller's, without what
-  /// concerns one connection or is this host's to say.
+  /// Creates the request to an endpoint from the caller's, without hop-by-hop
+  /// fields and with the fields that this host sets.
   virtual HttpRequest ForEndpoint(const HttpRequest& aCaller,
-                                  const EndpointSend& aSend) const = 0;
+                                  const EndpointSend& aMetadata) const = 0;
 
   virtual EndpointFacts ReadEndpoint(const HttpResponse& aHead) const = 0;
 
-  /// Gives the head of an endpoint's answer as the caller gets it.
+  /// Creates the status and header fields that the caller receives from those
+  /// of an endpoint's response.
   virtual HttpResponse ForCaller(const HttpResponse& aHead) const = 0;
 
-  /// Makes an answer of this host's own, for an error.
-  /// @param aStatus the status that promises just what is true of the request
-  /// @param aAttemptId the request's, empty when it gave none
+  /// Creates the response for an error of this host.
+  /// @param aStatus the HTTP status; it must not claim more about whether the
+  /// request ran than is known
+  /// @param aAttemptId the attempt ID of the request, empty if it had none
   virtual HttpResponse OwnAnswer(int aStatus,
                                  const Error& aError,
                                  const std::string& aAttemptId) const = 0;
 
-  /// Makes the order that sets memory aside at an engine, or goes on with it.
-  /// @param aTicketId names it, so that it can be used, renewed and released
-  /// @param aHoldFor when the engine frees it by itself
+  /// Creates the request that reserves memory at an engine or renews a
+  /// reservation.
+  /// @param aReservationId identifies the reservation for use, renewal and
+  /// release
+  /// @param aHoldFor time after which the engine releases it by itself
   virtual HttpRequest ReserveOrder(
-    const std::string& aTicketId,
+    const std::string& aReservationId,
     std::uint64_t aTokens,
     std::chrono::milliseconds aHoldFor) const = 0;
 
-  /// Makes the order that frees memory which was set aside.
-  virtual HttpRequest ReleaseOrder(const std::string& aTicketId) const = 0;
+  /// Creates the request that releases reserved memory.
+  virtual HttpRequest ReleaseOrder(const std::string& aReservationId) const = 0;
 
   virtual StoreKinds Kinds() const = 0;
 
-  /// Decodes a route document.
-  /// @return the routes, or kConfigurationInvalid with the path of the fault
+  /// Parses a route document.
+  /// @return the routes, or kConfigurationInvalid with the path of the error
   virtual Outcome<RouteDocument> ReadRoutes(
     const nlohmann::json& aSpec) const = 0;
 
-  /// Decodes an endpoint's entry.
-  /// @return the entry, or kEntryInvalid with the path of the fault
+  /// Parses an endpoint's entry.
+  /// @return the entry, or kEntryInvalid with the path of the error
   virtual Outcome<ListedEndpoint> ReadListed(
     const StoreObject& aObject) const = 0;
 };
