--- a/include/gooseberrylift/internal/gooseberrylift-http-client.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-client.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 client on Beast for endpoints, the object store, the host list
-// and peers. It never reuses a connection on which anything was left open.
+// An HTTP/1.1 client built on Boost.Beast for endpoints, the object store, the
+// host list and peers. It reuses a connection only after a complete response.
 
 #ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_CLIENT_H_
 #define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HTTP_CLIENT_H_
@@ -17,37 +17,37 @@
 
 namespace gooseberrylift {
 
-// One request that was sent, and its answer as it comes in. Its connection
-// returns to the client's idle ones only when the answer was read to its end;
-// else it closes, so that a late answer can never meet another request.
+// A request that was sent and its incoming response. The connection returns to
+// the idle pool only after the response was read to its end. Otherwise it is
+// closed, so that a late response can't be taken for that of another request.
 class HttpCall
 {
 public:
   virtual ~HttpCall() = default;
 
-  /// Waits for status and header fields. After a time-out it may be called
-  /// again and goes on waiting.
+  /// Reads the status and header fields. May be called again after a timeout to
+  /// continue waiting.
   virtual boost::asio::awaitable<Outcome<void>> ReadHead() = 0;
 
-  /// Gives status and header fields once they were read; the body stays empty.
+  /// Returns the status and header fields after ReadHead; the body is empty.
   virtual const HttpResponse& Head() const = 0;
 
-  /// Reads the next piece of the body, as soon as there is one. After a
-  /// time-out it may be called again and goes on reading.
-  /// @return a piece, nothing at the proper end, or an error with kNo,
-  /// kUnknown or kYes for what may have run
+  /// Reads the next available part of the body. May be called again after a
+  /// timeout to continue reading.
+  /// @return a part, nullopt at the end of the body, or an error whose ran_ is
+  /// kNo, kUnknown or kYes depending on whether the request may have run
   virtual boost::asio::awaitable<Outcome<std::optional<std::string>>>
   ReadSome() = 0;
 
-  /// Changes when later reads give up.
+  /// Changes the deadline of later reads.
   virtual void SetDeadline(TimePoint aDeadline) = 0;
 
-  /// Says whether the body ended by its length or last chunk. False means that
-  /// only the closed connection marked the end, so it may be cut.
+  /// Returns whether a length or a final chunk marks the end of the body. If
+  /// only the close of the connection does, the body may be truncated.
   virtual bool EndIsCertain() const = 0;
 };
 
-// Keeps idle connections by address; safe to use from several threads:
+// Pools idle connections by address. Thread-safe:
 //
 //   HttpClient client(executor, {});
 //   auto answer = co_await client.Fetch("127.0.0.1:80", request, deadline);
@@ -58,17 +58,17 @@
   {
     std::chrono::milliseconds connectTimeout_{ 1000 };
     std::size_t idlePerAddress_ = 64;
-    // At most; a server that states a shorter time is believed.
-    std::chrono::milliseconds idleFor_{ 20'000 };
+    // Upper bound; a shorter Keep-Alive timeout of the server takes precedence.
+    std::chrono::milliseconds idleTimeout_{ 20'000 };
     std::uint64_t maxBodyBytes_ = 64 * 1024 * 1024;
   };
 
   struct CallOptions
   {
-    bool freshConnection_ = false; // never one that was used before
-    // A kept connection that was idle for longer is passed over.
+    bool freshConnection_ = false; // don't use an idle connection
+    // An idle connection that has been idle for longer is closed.
     std::chrono::milliseconds maxIdle_{ std::chrono::hours(1) };
-    // Instead of the client's own.
+    // Overrides the timeout of the client.
     std::optional<std::chrono::milliseconds> connectTimeout_{};
   };
 
@@ -77,43 +77,42 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a request. Its answer's head is to be read next.
+  /// Sends a request. The caller continues with HttpCall::ReadHead.
   /// @param aAddress the server as IP:port
-  /// @param aRequest what to send; Content-Length is added, and Host unless
-  /// it is there
-  /// @param aDeadline when to give up; it holds for the call's reads too
-  /// @param aCall how to send it
-  /// @return the call, or an error whose ran_ is kNo only when no byte was
-  /// handed to the socket
+  /// @param aRequest the request; Content-Length is added, and Host if missing
+  /// @param aDeadline the deadline of sending and of the call's reads
+  /// @param aOptions the options of this call
+  /// @return the call, or an error whose ran_ is kNo only if no byte was
+  /// passed to the socket
   boost::asio::awaitable<Outcome<std::unique_ptr<HttpCall>>> Send(
     std::string aAddress,
     HttpRequest aRequest,
     TimePoint aDeadline,
-    CallOptions aCall);
+    CallOptions aOptions);
 
-  /// Sends a request and waits for the head of its answer.
-  /// @return like Send
+  /// Sends a request and reads the status and header fields of the response.
+  /// @return the same as Send
   boost::asio::awaitable<Outcome<std::unique_ptr<HttpCall>>> Start(
     std::string aAddress,
     HttpRequest aRequest,
     TimePoint aDeadline,
-    CallOptions aCall);
+    CallOptions aOptions);
 
-  /// Sends a request and reads the whole answer.
+  /// Sends a request and reads the complete response.
   boost::asio::awaitable<Outcome<HttpResponse>> Fetch(std::string aAddress,
                                                       HttpRequest aRequest,
                                                       TimePoint aDeadline,
-                                                      CallOptions aCall);
+                                                      CallOptions aOptions);
 
-  /// The same on any connection.
+  /// Overload with default options.
   boost::asio::awaitable<Outcome<HttpResponse>> Fetch(std::string aAddress,
                                                       HttpRequest aRequest,
                                                       TimePoint aDeadline);
 
-  /// Connects to an address and closes at once, to learn whether anybody
-  /// listens there.
-  /// @return true only when the connection was refused; that it did not come
-  /// about in time proves nothing
+  /// Connects to an address and closes the connection, to find out whether a
+  /// process listens there.
+  /// @return true only if the connection was refused; a timeout doesn't show
+  /// that no process listens
   boost::asio::awaitable<bool> IsRefused(std::string aAddress,
                                          std::chrono::milliseconds aTimeout);
 
--- a/src/net/gooseberrylift-forward-fields.cc
+++ b/src/net/gooseberrylift-forward-fields.cc
@@ -12,17 +12,18 @@
 
 namespace {
 
-std::string Lower(std::string_view aText)
+std::string ToLower(std::string_view aText)
 {
   std::string lower(aText);
   std::transform(
-    lower.begin(), lower.end(), lower.begin(), [](unsigned char aLetter) {
-      return static_cast<char>(std::tolower(aLetter));
+    lower.begin(), lower.end(), lower.begin(), [](unsigned char aCharacter) {
+      return static_cast<char>(std::tolower(aCharacter));
     });
   return lower;
 }
 
-bool IsConnectionField(const std::string& aLowerName)
+// Hop-by-hop fields and the fields that depend on how a message is sent.
+bool IsHopByHopField(const std::string& aLowerName)
 {
   constexpr std::array<std::string_view, 10> kFields = {
     "connection",     "keep-alive",        "transfer-encoding", "te",
@@ -32,8 +33,8 @@
   return std::find(kFields.begin(), kFields.end(), aLowerName) != kFields.end();
 }
 
-// Fields that this host sets itself towards an endpoint.
-bool IsOwnField(const std::string& aLowerName)
+// Fields that this host sets in requests to endpoints.
+bool IsHostField(const std::string& aLowerName)
 {
   constexpr std::array<std::string_view, 4> kFields = {
     "host", "authorization", "x-request-id", "x-team"
@@ -41,8 +42,8 @@
   return std::find(kFields.begin(), kFields.end(), aLowerName) != kFields.end();
 }
 
-// The names that a message itself declares to concern its connection only.
-std::set<std::string> DeclaredFields(const HttpFields& aFields)
+// Returns the names of the fields that the Connection field lists.
+std::set<std::string> ParseConnectionOptions(const HttpFields& aFields)
 {
   std::set<std::string> names;
   std::string_view list = FindField(aFields, "Connection");
@@ -52,7 +53,7 @@
     while (name.starts_with(' ')) {
       name.remove_prefix(1);
     }
-    names.insert(Lower(name.substr(0, name.find(' '))));
+    names.insert(ToLower(name.substr(0, name.find(' '))));
   }
   return names;
 }
@@ -61,15 +62,17 @@
 
 HttpFields WithoutConnectionFields(const HttpFields& aFields)
 {
-  const std::set<std::string> declared = DeclaredFields(aFields);
+  const std::set<std::string> connectionOptions =
+    ParseConnectionOptions(aFields);
   HttpFields kept;
   kept.reserve(aFields.size());
   std::copy_if(aFields.begin(),
                aFields.end(),
                std::back_inserter(kept),
-               [&declared](const HttpField& aField) {
-                 const std::string name = Lower(aField.name_);
-                 return !IsConnectionField(name) && !declared.contains(name);
+               [&connectionOptions](const HttpField& aField) {
+                 const std::string name = ToLower(aField.name_);
+                 return !IsHopByHopField(name) &&
+                        !connectionOptions.contains(name);
                });
   return kept;
 }
@@ -78,7 +81,7 @@
 {
   HttpFields kept = WithoutConnectionFields(aFields);
   std::erase_if(kept, [](const HttpField& aField) {
-    return IsOwnField(Lower(aField.name_));
+    return IsHostField(ToLower(aField.name_));
   });
   return kept;
 }
--- a/src/net/gooseberrylift-http-client.cc
+++ b/src/net/gooseberrylift-http-client.cc
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kPieceBytes = 16 * 1024;
+constexpr std::size_t kReadBufferBytes = 16 * 1024;
 
 struct Connection
 {
@@ -35,10 +35,11 @@
   TimePoint idleUntil_;
 };
 
-// The time for which the server keeps an idle connection, less a part for the
-// way there: what is sent in the moment of its close is lost.
-std::chrono::milliseconds IdleTimeOf(const HttpResponse& aHead,
-                                     std::chrono::milliseconds aDefault)
+// Returns how long a connection may stay idle: at most 3/4 of the Keep-Alive
+// timeout of the server, because a request that reaches the server while it
+// closes the connection is lost.
+std::chrono::milliseconds ComputeIdleTimeout(const HttpResponse& aHead,
+                                             std::chrono::milliseconds aDefault)
 {
   constexpr std::string_view kTimeout = "timeout=";
   const std::string_view field = aHead.Field("Keep-Alive");
@@ -46,15 +47,16 @@
   if (at == std::string_view::npos) {
     return aDefault;
   }
-  const std::chrono::seconds stated(
+  const std::chrono::seconds keepAliveSeconds(
     std::atoi(std::string(field.substr(at + kTimeout.size())).c_str()));
-  const std::chrono::milliseconds safe(stated);
-  return std::min(aDefault, safe * 3 / 4);
+  const std::chrono::milliseconds keepAliveTimeout(keepAliveSeconds);
+  return std::min(aDefault, keepAliveTimeout * 3 / 4);
 }
 
-// A server that closed its end shows as readable at once; so do bytes that
-// nobody asked for. Either way the connection is useless.
-bool IsStillQuiet(tcp::socket& aSocket)
+// Returns whether an idle connection can be reused. It can't if the socket is
+// readable, because the server has closed the connection or sent unexpected
+// data.
+bool IsReusable(tcp::socket& aSocket)
 {
   char byte = 0;
   boost::system::error_code code;
@@ -65,17 +67,18 @@
 
 Outcome<tcp::endpoint> ParseAddress(const std::string& aAddress)
 {
-  const Error fault{ .code_ = ResultCode::kEndpointUnreachable,
-                     .text_ = "not IP:port: " + aAddress };
+  const Error error{ .code_ = ResultCode::kEndpointUnreachable,
+                     .text_ =
+                       "invalid address, expected IP:port: " + aAddress };
   const std::size_t colon = aAddress.rfind(':');
   if (colon == std::string::npos) {
-    return fault;
+    return error;
   }
   boost::system::error_code code;
   const auto ip = asio::ip::make_address(aAddress.substr(0, colon), code);
   const int port = std::atoi(aAddress.c_str() + colon + 1);
   if (code || port <= 0 || port > 65'535) {
-    return fault;
+    return error;
   }
   return tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
@@ -105,7 +108,7 @@
       found->second.pop_back();
       if (now < connection->idleUntil_ &&
           now - connection->idleSince_ <= aMaxIdle &&
-          IsStillQuiet(connection->socket_)) {
+          IsReusable(connection->socket_)) {
         return connection;
       }
     }
@@ -114,25 +117,25 @@
   }
 
   void PutIdle(const std::string& aAddress,
-               std::unique_ptr<Connection> aIdle,
-               std::chrono::milliseconds aIdleFor)
+               std::unique_ptr<Connection> aConnection,
+               std::chrono::milliseconds aIdleTimeout)
   {
-    aIdle->idleSince_ = TimerService::Now();
-    aIdle->idleUntil_ = aIdle->idleSince_ + aIdleFor;
+    aConnection->idleSince_ = TimerService::Now();
+    aConnection->idleUntil_ = aConnection->idleSince_ + aIdleTimeout;
     const std::lock_guard lock(mutex_);
-    auto& line = idle_[aAddress];
-    if (line.size() >= options_.idlePerAddress_) {
-      line.pop_front();
+    auto& connections = idle_[aAddress];
+    if (connections.size() >= options_.idlePerAddress_) {
+      connections.pop_front();
     }
-    line.push_back(std::move(aIdle));
+    connections.push_back(std::move(aConnection));
   }
 
-  // Connects, until the limit.
+  // Connects a socket before the deadline.
   static asio::awaitable<boost::system::error_code>
-  Open(Connection& aConnection, tcp::endpoint aEndpoint, TimePoint aLimit)
+  Open(Connection& aConnection, tcp::endpoint aEndpoint, TimePoint aDeadline)
   {
     const OpGuard guard(
-      aConnection.socket_, co_await asio::this_coro::executor, aLimit);
+      aConnection.socket_, co_await asio::this_coro::executor, aDeadline);
     const auto [code] =
       co_await aConnection.socket_.async_connect(aEndpoint, kAwait);
     co_return code;
@@ -149,9 +152,10 @@
     }
     auto connection =
       std::make_unique<Connection>(co_await asio::this_coro::executor);
-    const TimePoint limit = std::min(aDeadline, TimerService::Now() + aTimeout);
+    const TimePoint connectDeadline =
+      std::min(aDeadline, TimerService::Now() + aTimeout);
     const boost::system::error_code code =
-      co_await Open(*connection, endpoint.value(), limit);
+      co_await Open(*connection, endpoint.value(), connectDeadline);
     if (code) {
       co_return Error{ .code_ = ResultCode::kEndpointUnreachable,
                        .text_ = aAddress + ": " + code.message() };
@@ -169,8 +173,8 @@
 
 namespace {
 
-http::request<http::string_body> MessageOf(const std::string& aAddress,
-                                           HttpRequest&& aRequest)
+http::request<http::string_body> MakeMessage(const std::string& aAddress,
+                                             HttpRequest&& aRequest)
 {
   http::request<http::string_body> message;
   message.version(11);
@@ -189,21 +193,22 @@
 
 } // namespace
 
-// The answer side of one call.
+// Implements HttpCall on a connection that it owns.
 class ClientCall : public HttpCall
 {
 public:
-  using PutBack = std::function<void(std::unique_ptr<Connection> aConnection,
-                                     const HttpResponse& aHead)>;
+  using ReturnConnection =
+    std::function<void(std::unique_ptr<Connection> aConnection,
+                       const HttpResponse& aHead)>;
 
   ClientCall(std::unique_ptr<Connection> aConnection,
              TimePoint aDeadline,
              std::uint64_t aMaxBody,
-             PutBack aPutBack)
+             ReturnConnection aReturnConnection)
     : connection_(std::move(aConnection))
     , deadline_(aDeadline)
-    , putBack_(std::move(aPutBack))
-    , piece_(kPieceBytes, '\0')
+    , returnConnection_(std::move(aReturnConnection))
+    , readBuffer_(kReadBufferBytes, '\0')
   {
     parser_.body_limit(aMaxBody);
   }
@@ -215,8 +220,8 @@
     const auto [code, size] =
       co_await http::async_write(connection_->socket_, aMessage, kAwait);
     if (code) {
-      // What was handed to the socket may have arrived and run.
-      co_return Fault(code, guard.Expired());
+      // The server may have received and run what was passed to the socket.
+      co_return MakeTransferError(code, guard.Expired());
     }
     parser_.skip(aMessage.method() == http::verb::head);
     co_return boost::outcome_v2::success();
@@ -229,7 +234,7 @@
     const auto [code, size] = co_await http::async_read_header(
       connection_->socket_, connection_->buffer_, parser_, kAwait);
     if (code) {
-      co_return Fault(code, guard.Expired());
+      co_return MakeTransferError(code, guard.Expired());
     }
     head_.status_ = static_cast<int>(parser_.get().result_int());
     for (const auto& field : parser_.get()) {
@@ -250,31 +255,32 @@
     const OpGuard guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     while (!parser_.is_done()) {
-      parser_.get().body().data = piece_.data();
-      parser_.get().body().size = piece_.size();
+      parser_.get().body().data = readBuffer_.data();
+      parser_.get().body().size = readBuffer_.size();
       auto [code, size] = co_await http::async_read_some(
         connection_->socket_, connection_->buffer_, parser_, kAwait);
       if (code == http::error::need_buffer) {
         code = {};
       }
       if (code) {
-        co_return Fault(code, guard.Expired());
+        co_return MakeTransferError(code, guard.Expired());
       }
-      const std::size_t got = piece_.size() - parser_.get().body().size;
-      if (got > 0) {
-        co_return std::optional<std::string>(piece_.substr(0, got));
+      const std::size_t received =
+        readBuffer_.size() - parser_.get().body().size;
+      if (received > 0) {
+        co_return std::optional<std::string>(readBuffer_.substr(0, received));
       }
     }
-    Release();
+    ReleaseConnection();
     co_return std::optional<std::string>();
   }
 
 private:
-  static Error Fault(boost::system::error_code aCode, bool aExpired)
+  static Error MakeTransferError(boost::system::error_code aCode, bool aExpired)
   {
     if (aExpired) {
       return { .code_ = ResultCode::kDeadlineExceeded,
-               .text_ = "the endpoint did not answer in time",
+               .text_ = "the server did not respond before the deadline",
                .ran_ = RanState::kUnknown };
     }
     return { .code_ = aCode == asio::error::operation_aborted
@@ -284,19 +290,19 @@
              .ran_ = RanState::kUnknown };
   }
 
-  void Release()
+  void ReleaseConnection()
   {
-    const bool clean = parser_.keep_alive() && !parser_.need_eof() &&
-                       connection_->buffer_.size() == 0;
-    if (clean) {
-      putBack_(std::move(connection_), head_);
+    const bool reusable = parser_.keep_alive() && !parser_.need_eof() &&
+                          connection_->buffer_.size() == 0;
+    if (reusable) {
+      returnConnection_(std::move(connection_), head_);
     }
   }
 
   std::unique_ptr<Connection> connection_;
   TimePoint deadline_;
-  PutBack putBack_;
-  std::string piece_;
+  ReturnConnection returnConnection_;
+  std::string readBuffer_;
   HttpResponse head_;
   http::response_parser<http::buffer_body> parser_;
 };
@@ -312,24 +318,25 @@
   std::string aAddress,
   HttpRequest aRequest,
   TimePoint aDeadline,
-  CallOptions aCall)
+  CallOptions aOptions)
 {
   const std::shared_ptr<Impl> impl = impl_;
   std::unique_ptr<Connection> connection;
-  if (!aCall.freshConnection_) {
-    connection = impl->TakeIdle(aAddress, aCall.maxIdle_);
+  if (!aOptions.freshConnection_) {
+    connection = impl->TakeIdle(aAddress, aOptions.maxIdle_);
   }
   if (!connection) {
     auto connected = co_await impl->Connect(
       aAddress,
-      aCall.connectTimeout_.value_or(impl->options_.connectTimeout_),
+      aOptions.connectTimeout_.value_or(impl->options_.connectTimeout_),
       aDeadline);
     if (!connected) {
       co_return connected.error();
     }
     connection = std::move(connected.value());
   }
-  // A paused process must not send late: the time is looked at again here.
+  // The process may have been suspended while connecting; a request must not be
+  // sent after its deadline.
   if (TimerService::Now() >= aDeadline) {
     co_return Error{ .code_ = ResultCode::kDeadlineExceeded };
   }
@@ -341,10 +348,10 @@
                      const HttpResponse& aHead) {
       impl->PutIdle(aAddress,
                     std::move(aConnection),
-                    IdleTimeOf(aHead, impl->options_.idleFor_));
+                    ComputeIdleTimeout(aHead, impl->options_.idleTimeout_));
     });
   const auto sent =
-    co_await call->Send(MessageOf(aAddress, std::move(aRequest)));
+    co_await call->Send(MakeMessage(aAddress, std::move(aRequest)));
   if (!sent) {
     co_return sent.error();
   }
@@ -368,10 +375,10 @@
   std::string aAddress,
   HttpRequest aRequest,
   TimePoint aDeadline,
-  CallOptions aCall)
+  CallOptions aOptions)
 {
-  auto call =
-    co_await Send(std::move(aAddress), std::move(aRequest), aDeadline, aCall);
+  auto call = co_await Send(
+    std::move(aAddress), std::move(aRequest), aDeadline, aOptions);
   if (!call) {
     co_return call.error();
   }
@@ -393,23 +400,23 @@
 asio::awaitable<Outcome<HttpResponse>> HttpClient::Fetch(std::string aAddress,
                                                          HttpRequest aRequest,
                                                          TimePoint aDeadline,
-                                                         CallOptions aCall)
+                                                         CallOptions aOptions)
 {
-  auto call =
-    co_await Start(std::move(aAddress), std::move(aRequest), aDeadline, aCall);
+  auto call = co_await Start(
+    std::move(aAddress), std::move(aRequest), aDeadline, aOptions);
   if (!call) {
     co_return call.error();
   }
   HttpResponse response = call.value()->Head();
   while (true) {
-    auto piece = co_await call.value()->ReadSome();
-    if (!piece) {
-      co_return piece.error();
+    auto part = co_await call.value()->ReadSome();
+    if (!part) {
+      co_return part.error();
     }
-    if (!piece.value()) {
+    if (!part.value()) {
       co_return response;
     }
-    response.body_ += *piece.value();
+    response.body_ += *part.value();
   }
 }
 
--- a/src/net/gooseberrylift-http-server.cc
+++ b/src/net/gooseberrylift-http-server.cc
@@ -17,7 +17,7 @@
 
 } // namespace
 
-ResultCode CodeOf(AbortReason aReason, ResultCode aOther)
+ResultCode CodeOf(AbortReason aReason, ResultCode aDefault)
 {
   switch (aReason) {
     case AbortReason::kDeadline:
@@ -25,7 +25,7 @@
     case AbortReason::kStopping:
       return ResultCode::kShuttingDown;
     default:
-      return aOther;
+      return aDefault;
   }
 }
 
@@ -95,14 +95,15 @@
       co_return;
     }
     if (code) {
-      // Out of descriptors: without a pause the loop would spin.
+      // Accepting fails while no file descriptors are left. The delay keeps
+      // the loop from spinning.
       co_await TimerService::SleepFor(std::chrono::milliseconds(50));
       continue;
     }
     {
       const std::lock_guard lock(state_->mutex_);
       if (state_->sessions_.size() >= state_->options_.maxConnections_) {
-        continue; // the socket closes; a caller sees a reset and retries
+        continue; // closes the socket; the caller sees a reset and retries
       }
     }
     StartHttpSession(state_, std::move(socket));
@@ -121,7 +122,7 @@
 {
   const std::lock_guard lock(state_->mutex_);
   for (HttpSession* session : state_->sessions_) {
-    session->CloseFromOutside(aOnlyIdle);
+    session->PostClose(aOnlyIdle);
   }
 }
 
@@ -129,7 +130,7 @@
 {
   const std::lock_guard lock(state_->mutex_);
   for (HttpSession* session : state_->sessions_) {
-    session->AbortFromOutside(AbortReason::kStopping);
+    session->PostAbort(AbortReason::kStopping);
   }
 }
 
@@ -163,16 +164,17 @@
   return impl_->port_;
 }
 
-asio::awaitable<std::size_t> HttpServer::Drain(std::chrono::milliseconds aLag,
-                                               TimePoint aDeadline)
+asio::awaitable<std::size_t> HttpServer::Drain(
+  std::chrono::milliseconds aGracePeriod,
+  TimePoint aDeadline)
 {
-  constexpr std::chrono::milliseconds kPoll{ 20 };
+  constexpr std::chrono::milliseconds kPollInterval{ 20 };
   impl_->state_->draining_ = true;
-  co_await TimerService::SleepFor(aLag);
+  co_await TimerService::SleepFor(aGracePeriod);
   impl_->StopAccepting();
   impl_->CloseSessions(true);
   while (impl_->state_->active_ > 0 && TimerService::Now() < aDeadline) {
-    co_await TimerService::SleepFor(kPoll);
+    co_await TimerService::SleepFor(kPollInterval);
   }
   co_return Active();
 }
--- a/src/net/gooseberrylift-http-session.cc
+++ b/src/net/gooseberrylift-http-session.cc
@@ -18,7 +18,7 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-Error ErrorOfRead(const boost::system::error_code& aCode)
+Error MakeReadError(const boost::system::error_code& aCode)
 {
   if (aCode == http::error::body_limit) {
     return { .code_ = ResultCode::kBodyTooLarge };
@@ -30,7 +30,7 @@
   return { .code_ = ResultCode::kMalformedHttp, .text_ = aCode.message() };
 }
 
-HttpRequest RequestOf(http::request<http::string_body>&& aMessage)
+HttpRequest ToHttpRequest(http::request<http::string_body>&& aMessage)
 {
   HttpRequest request{ .method_ = std::string(aMessage.method_string()),
                        .target_ = std::string(aMessage.target()) };
@@ -43,7 +43,7 @@
 }
 
 template<typename Body>
-void FillHead(http::response<Body>& aMessage, const HttpResponse& aResponse)
+void CopyHead(http::response<Body>& aMessage, const HttpResponse& aResponse)
 {
   aMessage.result(static_cast<unsigned>(aResponse.status_));
   for (const HttpField& field : aResponse.fields_) {
@@ -51,7 +51,8 @@
   }
 }
 
-// One connection. Everything in it runs on the socket's strand.
+// A connection. All members run on the socket's strand except the constructor,
+// the destructor and the Post functions.
 class Connection
   : public HttpExchange
   , public HttpSession
@@ -78,20 +79,20 @@
 
   asio::awaitable<void> Run()
   {
-    bool going = co_await ReadRequest();
-    while (going) {
+    bool hasRequest = co_await ReadRequest();
+    while (hasRequest) {
       co_await Handle();
       SetBusy(false);
-      going = reusable_ && !server_->draining_;
-      if (going) {
-        going = co_await ReadRequest();
+      hasRequest = reusable_ && !server_->draining_;
+      if (hasRequest) {
+        hasRequest = co_await ReadRequest();
       }
     }
     SetBusy(false);
     co_await Linger();
   }
 
-  void CloseFromOutside(bool aOnlyIdle) override
+  void PostClose(bool aOnlyIdle) override
   {
     asio::post(socket_.get_executor(), [self = weak_from_this(), aOnlyIdle] {
       const auto session = self.lock();
@@ -103,7 +104,7 @@
     });
   }
 
-  void AbortFromOutside(AbortReason aReason) override
+  void PostAbort(AbortReason aReason) override
   {
     asio::post(socket_.get_executor(), [self = weak_from_this(), aReason] {
       if (const auto session = self.lock()) {
@@ -121,7 +122,7 @@
 
   void Drop() override
   {
-    started_ = true; // nothing is to be sent any more
+    started_ = true; // prevents further responses
     reusable_ = false;
     boost::system::error_code ignored;
     socket_.close(ignored);
@@ -141,7 +142,7 @@
   {
     http::response<http::string_body> message;
     message.version(11);
-    FillHead(message, aResponse);
+    CopyHead(message, aResponse);
     message.keep_alive(keepAlive_ && !server_->draining_);
     message.body() = std::move(aResponse.body_);
     message.content_length(message.body().size());
@@ -154,7 +155,7 @@
     const OpGuard guard = WriteGuard();
     const auto [code, size] =
       co_await http::async_write(socket_, serializer, kAwait);
-    NoteStall(guard);
+    RecordWriteTimeout(guard);
     reusable_ = !code && message.keep_alive();
     co_return !code;
   }
@@ -163,11 +164,11 @@
   {
     http::response<http::empty_body> message;
     message.version(11);
-    FillHead(message, aHead);
+    CopyHead(message, aHead);
     message.keep_alive(keepAlive_ && !server_->draining_);
     message.chunked(true);
     started_ = true;
-    streamKeepsAlive_ = message.keep_alive();
+    streamKeepAlive_ = message.keep_alive();
     http::response_serializer<http::empty_body> serializer(message);
     const OpGuard guard = WriteGuard();
     const auto [code, size] =
@@ -175,17 +176,17 @@
     co_return !code;
   }
 
-  asio::awaitable<bool> Write(std::string_view aPiece) override
+  asio::awaitable<bool> Write(std::string_view aChunk) override
   {
-    if (aPiece.empty()) {
+    if (aChunk.empty()) {
       co_return true; // an empty chunk would end the stream
     }
     const OpGuard guard = WriteGuard();
     const auto [code, size] = co_await asio::async_write(
       socket_,
-      http::make_chunk(asio::const_buffer(aPiece.data(), aPiece.size())),
+      http::make_chunk(asio::const_buffer(aChunk.data(), aChunk.size())),
       kAwait);
-    NoteStall(guard);
+    RecordWriteTimeout(guard);
     co_return !code;
   }
 
@@ -194,13 +195,14 @@
     const OpGuard guard = WriteGuard();
     const auto [code, size] =
       co_await asio::async_write(socket_, http::make_chunk_last(), kAwait);
-    reusable_ = !code && streamKeepsAlive_;
+    reusable_ = !code && streamKeepAlive_;
     co_return !code;
   }
 
 private:
-  // From a request's first byte to its answer's last, so that a planned stop
-  // waits for a body that is still coming as well as for a running handler.
+  // A connection is busy from the first byte of a request to the last byte of
+  // its response, so that Drain waits for a body that is still being received
+  // as well as for a running handler.
   void SetBusy(bool aBusy)
   {
     if (busy_ != aBusy) {
@@ -209,8 +211,8 @@
     }
   }
 
-  // Bytes that have arrived and were not read yet are a request as well; a
-  // close on top of them would reset it.
+  // A connection with unread bytes is not idle. The bytes belong to a request,
+  // which a close would reset.
   bool IsIdle() const
   {
     boost::system::error_code ignored;
@@ -224,14 +226,14 @@
              TimerService::Now() + server_->options_.writeTimeout_ };
   }
 
-  void NoteStall(const OpGuard& aGuard)
+  void RecordWriteTimeout(const OpGuard& aGuard)
   {
     if (aGuard.Expired() && reason_ == AbortReason::kNone) {
       reason_ = AbortReason::kCallerStalled;
     }
   }
 
-  // Reads the next request. False when the connection is done with.
+  // Reads the next request. Returns false if the connection has to be closed.
   asio::awaitable<bool> ReadRequest()
   {
     if (buffer_.size() == 0) {
@@ -254,7 +256,7 @@
       co_return false;
     }
     keepAlive_ = parser.keep_alive();
-    request_ = RequestOf(parser.release());
+    request_ = ToHttpRequest(parser.release());
     started_ = false;
     reusable_ = false;
     keepRunning_ = false;
@@ -284,7 +286,7 @@
     const auto [code, size] =
       co_await http::async_read_header(socket_, buffer_, aParser, kAwait);
     if (code) {
-      co_await RefuseRead(code, guard.Expired());
+      co_await RejectRequest(code, guard.Expired());
     }
     co_return !code;
   }
@@ -293,8 +295,9 @@
     http::request_parser<http::string_body>& aParser)
   {
     if (beast::iequals(aParser.get()[http::field::expect], "100-continue")) {
-      http::response<http::empty_body> proceed(http::status::continue_, 11);
-      co_await http::async_write(socket_, proceed, kAwait);
+      http::response<http::empty_body> continueResponse(http::status::continue_,
+                                                        11);
+      co_await http::async_write(socket_, continueResponse, kAwait);
     }
     const OpGuard guard(socket_,
                         socket_.get_executor(),
@@ -302,36 +305,36 @@
     const auto [code, size] =
       co_await http::async_read(socket_, buffer_, aParser, kAwait);
     if (code) {
-      co_await RefuseRead(code, guard.Expired());
+      co_await RejectRequest(code, guard.Expired());
     }
     co_return !code;
   }
 
-  // Answers a request that could not be read.
-  asio::awaitable<void> RefuseRead(boost::system::error_code aCode,
-                                   bool aTooSlow)
+  // Responds to a request that could not be read.
+  asio::awaitable<void> RejectRequest(boost::system::error_code aCode,
+                                      bool aTimedOut)
   {
     keepAlive_ = false;
     request_ = {};
-    if (aTooSlow) {
+    if (aTimedOut) {
       co_await Send(ErrorResponse(MakeError(ResultCode::kCallerTooSlow), {}));
     } else if (aCode.category() ==
                  http::make_error_code(http::error::bad_method).category() &&
                aCode != http::error::end_of_stream) {
-      co_await Send(ErrorResponse(ErrorOfRead(aCode), {}));
+      co_await Send(ErrorResponse(MakeReadError(aCode), {}));
     }
   }
 
   asio::awaitable<void> Handle()
   {
-    WatchCaller();
-    const auto [failure] = co_await asio::co_spawn(
+    WatchForDisconnect();
+    const auto [exception] = co_await asio::co_spawn(
       socket_.get_executor(),
       server_->handler_(*this),
       asio::bind_cancellation_slot(signal_.slot(),
                                    asio::as_tuple(asio::use_awaitable)));
     deadline_.Cancel();
-    watching_.reset();
+    handlerToken_.reset();
     boost::system::error_code ignored;
     socket_.cancel(ignored);
     if (!started_ && reason_ != AbortReason::kCallerLeft) {
@@ -341,20 +344,20 @@
     }
   }
 
-  // Notices that the caller closed while its request is in work. Bytes that
-  // arrive meanwhile are the next request; they end the watch, since a close
-  // behind them can't be seen without reading them.
-  void WatchCaller()
+  // Detects that the caller closes the connection while its request is being
+  // handled. Detection ends when bytes of the next request arrive, because a
+  // close after them can't be seen without reading them.
+  void WatchForDisconnect()
   {
-    watching_ = std::make_shared<bool>(true);
+    handlerToken_ = std::make_shared<bool>(true);
     if (buffer_.size() > 0) {
       return;
     }
     socket_.async_wait(
       tcp::socket::wait_read,
-      [self = shared_from_this(), watching = std::weak_ptr(watching_)](
+      [self = shared_from_this(), handlerToken = std::weak_ptr(handlerToken_)](
         const boost::system::error_code& aCode) {
-        if (aCode || watching.expired()) {
+        if (aCode || handlerToken.expired()) {
           return;
         }
         char byte = 0;
@@ -370,7 +373,7 @@
 
   void Abort(AbortReason aReason)
   {
-    if (!watching_ || reason_ != AbortReason::kNone) {
+    if (!handlerToken_ || reason_ != AbortReason::kNone) {
       return;
     }
     reason_ = aReason;
@@ -380,18 +383,19 @@
     signal_.emit(asio::cancellation_type::terminal);
   }
 
-  // Closes so that the last answer arrives: a close with unread bytes in the
-  // socket resets the connection and can destroy an answer under way.
+  // Closes the connection after reading and discarding what the caller still
+  // sends. Closing a socket with unread bytes resets the connection, and the
+  // caller may lose a response that is in transit.
   asio::awaitable<void> Linger()
   {
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     const OpGuard guard(
-      socket_, socket_.get_executor(), TimerService::Now() + kLinger);
-    std::array<char, kReadBytes> sink;
+      socket_, socket_.get_executor(), TimerService::Now() + kLingerTimeout);
+    std::array<char, kReadBytes> discarded;
     while (true) {
       const auto [code, size] =
-        co_await socket_.async_read_some(asio::buffer(sink), kAwait);
+        co_await socket_.async_read_some(asio::buffer(discarded), kAwait);
       if (code) {
         break;
       }
@@ -400,7 +404,7 @@
   }
 
   static constexpr std::size_t kReadBytes = 4096;
-  static constexpr std::chrono::milliseconds kLinger{ 1000 };
+  static constexpr std::chrono::milliseconds kLingerTimeout{ 1000 };
 
   std::shared_ptr<HttpServerState> server_;
   tcp::socket socket_;
@@ -408,7 +412,7 @@
   beast::flat_buffer buffer_;
   HttpRequest request_;
   asio::cancellation_signal signal_;
-  std::shared_ptr<bool> watching_;
+  std::shared_ptr<bool> handlerToken_;
   TimerSubscription deadline_;
   AbortReason reason_ = AbortReason::kNone;
   bool idle_ = false;
@@ -416,7 +420,7 @@
   bool keepAlive_ = true;
   bool started_ = false;
   bool reusable_ = false;
-  bool streamKeepsAlive_ = false;
+  bool streamKeepAlive_ = false;
   bool keepRunning_ = false;
 };
 
--- a/src/net/gooseberrylift-http-session.h
+++ b/src/net/gooseberrylift-http-session.h
@@ -1,5 +1,5 @@
-// One connection of the HTTP server: reads requests, runs the handler for each,
-// and writes the answers.
+// A connection of the HTTP server. Reads requests, runs the handler for each
+// and writes the responses.
 
 #ifndef GOOSEBERRYLIFT_NET_GOOSEBERRYLIFT_HTTP_SESSION_H_
 #define GOOSEBERRYLIFT_NET_GOOSEBERRYLIFT_HTTP_SESSION_H_
@@ -16,30 +16,30 @@
 
 namespace gooseberrylift {
 
-// What a server sees of a connection.
+// The operations that the server runs on a connection.
 class HttpSession
 {
 public:
   virtual ~HttpSession() = default;
 
-  /// Closes the connection from any thread.
-  /// @param aOnlyIdle leave it open while a request is in work
-  virtual void CloseFromOutside(bool aOnlyIdle) = 0;
+  /// Closes the connection. Thread-safe.
+  /// @param aOnlyIdle leave the connection open while a request is active
+  virtual void PostClose(bool aOnlyIdle) = 0;
 
-  /// Cancels the running handler, if any, from any thread.
-  virtual void AbortFromOutside(AbortReason aReason) = 0;
+  /// Cancels the running handler, if any. Thread-safe.
+  virtual void PostAbort(AbortReason aReason) = 0;
 };
 
-// What a server and its connections share.
+// State shared by a server and its connections.
 struct HttpServerState
 {
-  HttpServer::Options options_; // but for the limits, set once
+  HttpServer::Options options_; // immutable; limits_ overrides its limits
   HttpHandler handler_;
   std::atomic<bool> draining_ = false;
-  std::atomic<std::ptrdiff_t> active_ = 0; // connections that are busy
+  std::atomic<std::ptrdiff_t> active_ = 0; // number of busy connections
   std::mutex mutex_;                       // guards sessions_ and limits_
   HttpServer::Limits limits_{};
-  std::set<HttpSession*> sessions_{}; // each adds and removes itself
+  std::set<HttpSession*> sessions_{}; // sessions add and remove themselves
 
   HttpServer::Limits Limits()
   {
@@ -48,9 +48,9 @@
   }
 };
 
-/// Serves a connection until it ends.
-/// @param aState shared with the server
-/// @param aSocket the connection, on a strand of its own
+/// Starts serving a connection in the background.
+/// @param aState the state shared with the server
+/// @param aSocket the connection; its executor must be a strand
 void StartHttpSession(std::shared_ptr<HttpServerState> aState,
                       boost::asio::ip::tcp::socket aSocket);
 
--- a/src/net/gooseberrylift-http.cc
+++ b/src/net/gooseberrylift-http.cc
@@ -38,12 +38,13 @@
 
 std::string_view HttpRequest::Query(std::string_view aName) const
 {
-  std::string_view rest = target_;
-  const std::size_t mark = rest.find('?');
-  rest = mark == std::string_view::npos ? "" : rest.substr(mark + 1);
-  while (!rest.empty()) {
-    const std::string_view pair = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
+  std::string_view query = target_;
+  const std::size_t queryStart = query.find('?');
+  query =
+    queryStart == std::string_view::npos ? "" : query.substr(queryStart + 1);
+  while (!query.empty()) {
+    const std::string_view pair = query.substr(0, query.find('&'));
+    query.remove_prefix(std::min(query.size(), pair.size() + 1));
     const std::size_t equals = pair.find('=');
     if (pair.substr(0, equals) == aName) {
       return equals == std::string_view::npos ? "" : pair.substr(equals + 1);
--- a/src/net/gooseberrylift-tasks.cc
+++ b/src/net/gooseberrylift-tasks.cc
@@ -51,12 +51,13 @@
       }
       position = tasks_.insert(tasks_.end(), task);
     }
-    // Not under the lock: co_spawn may start the coroutine before it returns.
+    // The lock is not held, because co_spawn may run the coroutine before it
+    // returns.
     asio::co_spawn(aExecutor,
                    std::move(aCoroutine),
                    asio::bind_cancellation_slot(
                      task->signal_.slot(),
-                     [this, position](const std::exception_ptr& /*aFault*/) {
+                     [this, position](const std::exception_ptr& /*aError*/) {
                        Remove(position);
                      }));
   }
@@ -106,7 +107,7 @@
   }
 
   std::mutex mutex_;
-  std::list<std::shared_ptr<Task>> tasks_; // not ended
+  std::list<std::shared_ptr<Task>> tasks_; // tasks that have not ended
   std::vector<std::shared_ptr<Task>> endedAfterCancel_;
   bool cancelled_ = false;
 };
--- a/src/net/gooseberrylift-timer-service.cc
+++ b/src/net/gooseberrylift-timer-service.cc
@@ -14,8 +14,8 @@
 
 namespace asio = boost::asio;
 
-// The timer lives on a strand of its own, so that Cancel may come from any
-// thread while a callback re-arms it.
+// The timer runs on its own strand, so that Cancel may be called from any
+// thread while a callback restarts the timer.
 struct TimerSubscription::State
   : std::enable_shared_from_this<TimerSubscription::State>
 {
@@ -28,7 +28,7 @@
   {
   }
 
-  void Arm(TimePoint aWhen)
+  void Start(TimePoint aWhen)
   {
     asio::dispatch(strand_, [self = shared_from_this(), aWhen] {
       if (self->cancelled_) {
@@ -51,7 +51,7 @@
       }
       self->callback_();
       if (self->period_.count() > 0) {
-        self->Arm(TimerService::Now() + self->period_);
+        self->Start(TimerService::Now() + self->period_);
       }
     });
   }
@@ -114,7 +114,7 @@
   auto state =
     std::make_shared<TimerSubscription::State>(aExecutor, std::move(aCallback));
   state->period_ = aPeriod;
-  state->Arm(Now() + aPeriod);
+  state->Start(Now() + aPeriod);
   return TimerSubscription(std::move(state));
 }
 
@@ -124,7 +124,7 @@
 {
   auto state =
     std::make_shared<TimerSubscription::State>(aExecutor, std::move(aCallback));
-  state->Arm(aWhen);
+  state->Start(aWhen);
   return TimerSubscription(std::move(state));
 }
 
