--- a/src/front/gooseberrylift-log-routes.cc
+++ b/src/front/gooseberrylift-log-routes.cc
@@ -33,13 +33,13 @@
 
 } // namespace
 
-void AddLogRoutes(AdminFront& aFront)
+void AddLogRoutes(AdminApi& aAdminApi)
 {
-  aFront.Add(
+  aAdminApi.Add(
     "GET", "/log", [](HttpExchange& aExchange) -> asio::awaitable<void> {
       co_await aExchange.Send(JsonResponse(200, LevelsText()));
     });
-  aFront.Add(
+  aAdminApi.Add(
     "POST", "/log", [](HttpExchange& aExchange) -> asio::awaitable<void> {
       co_await aExchange.Send(ChangeLevel(aExchange.Request()));
     });
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -71,7 +71,7 @@
   request.priority_ = request.route_->priority_;
   if (request.table_->NeedsKeys() && !request.route_->public_) {
     // Before a key is judged, it must be sure that the keys are the newest.
-    if (!parts_.run_.routes_.KeysAreProven()) {
+    if (!parts_.run_.routes_.AreKeysProven()) {
       Error error = MakeError(ResultCode::kFreshnessLost);
       error.retryAfter_ = kUntilConfigured;
       return error;
@@ -119,8 +119,8 @@
   }
   const RoutedRequest& routed = request.value();
   {
-    const std::lock_guard lock(parts_.run_.repeats_.mutex_);
-    parts_.run_.repeats_.budget_.OnRequest(routed.service_, arrived);
+    const std::lock_guard lock(parts_.run_.retryBudget_.mutex_);
+    parts_.run_.retryBudget_.budget_.OnRequest(routed.service_, arrived);
   }
   aExchange.SetDeadline(routed.deadline_);
   RequestRun run(parts_.run_, aExchange, routed);
--- a/src/gateway/gooseberrylift-memory-holds.cc
+++ b/src/gateway/gooseberrylift-memory-reservation.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-memory-holds.h"
+#include "gooseberrylift/internal/gooseberrylift-memory-reservation.h"
 
 #include <algorithm>
 
--- a/src/gateway/gooseberrylift-route-follower.cc
+++ b/src/gateway/gooseberrylift-route-follower.cc
@@ -53,14 +53,14 @@
   lease_.OnProof(aBegan);
 }
 
-bool RouteFollower::KeysAreProven()
+bool RouteFollower::AreKeysProven()
 {
-  const auto bounds = board_.bounds_.Read();
-  if (!bounds->bounds_.strictRevocation_) {
+  const auto bounds = board_.gatewaySettings_.Read();
+  if (!bounds->gatewaySettings_.strictRevocation_) {
     return true;
   }
   const std::lock_guard lock(leaseMutex_);
-  lease_.SetRevokeWithin(bounds->bounds_.revokeWithin_);
+  lease_.SetRevokeWithin(bounds->gatewaySettings_.revokeWithin_);
   const BootTime now = TimerService::BootNow();
   const bool proven = lease_.IsValid(now);
   if (proven != proven_) {
--- a/src/net/gooseberrylift-http-client.cc
+++ b/src/net/gooseberrylift-http-client.cc
@@ -8,7 +8,7 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 
-#include "gooseberrylift/internal/gooseberrylift-op-guard.h"
+#include "gooseberrylift/internal/gooseberrylift-socket-deadline.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
 
 namespace gooseberrylift {
@@ -134,7 +134,7 @@
   static asio::awaitable<boost::system::error_code>
   Open(Connection& aConnection, tcp::endpoint aEndpoint, TimePoint aDeadline)
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       aConnection.socket_, co_await asio::this_coro::executor, aDeadline);
     const auto [code] =
       co_await aConnection.socket_.async_connect(aEndpoint, kAwait);
@@ -215,7 +215,7 @@
 
   asio::awaitable<Outcome<void>> Send(http::request<http::string_body> aMessage)
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     const auto [code, size] =
       co_await http::async_write(connection_->socket_, aMessage, kAwait);
@@ -229,7 +229,7 @@
 
   asio::awaitable<Outcome<void>> ReadHead() override
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     const auto [code, size] = co_await http::async_read_header(
       connection_->socket_, connection_->buffer_, parser_, kAwait);
@@ -252,7 +252,7 @@
 
   asio::awaitable<Outcome<std::optional<std::string>>> ReadSome() override
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     while (!parser_.is_done()) {
       parser_.get().body().data = readBuffer_.data();
--- a/src/net/gooseberrylift-http-session.cc
+++ b/src/net/gooseberrylift-http-session.cc
@@ -3,7 +3,7 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 
-#include "gooseberrylift/internal/gooseberrylift-op-guard.h"
+#include "gooseberrylift/internal/gooseberrylift-socket-deadline.h"
 #include "gooseberrylift/internal/gooseberrylift-tasks.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
 
@@ -152,7 +152,7 @@
     if (request_.method_ == "HEAD") {
       message.body().clear();
     }
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await http::async_write(socket_, serializer, kAwait);
     RecordWriteTimeout(guard);
@@ -170,7 +170,7 @@
     started_ = true;
     streamKeepAlive_ = message.keep_alive();
     http::response_serializer<http::empty_body> serializer(message);
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await http::async_write_header(socket_, serializer, kAwait);
     co_return !code;
@@ -181,7 +181,7 @@
     if (aChunk.empty()) {
       co_return true; // an empty chunk would end the stream
     }
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] = co_await asio::async_write(
       socket_,
       http::make_chunk(asio::const_buffer(aChunk.data(), aChunk.size())),
@@ -192,7 +192,7 @@
 
   asio::awaitable<bool> Finish() override
   {
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await asio::async_write(socket_, http::make_chunk_last(), kAwait);
     reusable_ = !code && streamKeepAlive_;
@@ -219,14 +219,14 @@
     return idle_ && socket_.available(ignored) == 0;
   }
 
-  OpGuard WriteGuard()
+  SocketDeadline WriteGuard()
   {
     return { socket_,
              socket_.get_executor(),
              TimerService::Now() + server_->options_.writeTimeout_ };
   }
 
-  void RecordWriteTimeout(const OpGuard& aGuard)
+  void RecordWriteTimeout(const SocketDeadline& aGuard)
   {
     if (aGuard.Expired() && reason_ == AbortReason::kNone) {
       reason_ = AbortReason::kCallerStalled;
@@ -267,9 +267,10 @@
   asio::awaitable<bool> WaitForBytes()
   {
     idle_ = true;
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->Limits().idleTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->Limits().idleTimeout_);
     const auto [code, size] =
       co_await socket_.async_read_some(buffer_.prepare(kReadBytes), kAwait);
     idle_ = false;
@@ -280,9 +281,10 @@
   asio::awaitable<bool> ReadHeader(
     http::request_parser<http::string_body>& aParser)
   {
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->Limits().headerTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->Limits().headerTimeout_);
     const auto [code, size] =
       co_await http::async_read_header(socket_, buffer_, aParser, kAwait);
     if (code) {
@@ -299,9 +301,10 @@
                                                         11);
       co_await http::async_write(socket_, continueResponse, kAwait);
     }
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->options_.bodyTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->options_.bodyTimeout_);
     const auto [code, size] =
       co_await http::async_read(socket_, buffer_, aParser, kAwait);
     if (code) {
@@ -390,7 +393,7 @@
   {
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    const OpGuard guard(
+    const SocketDeadline guard(
       socket_, socket_.get_executor(), TimerService::Now() + kLingerTimeout);
     std::array<char, kReadBytes> discarded;
     while (true) {
--- a/src/runtime/gooseberrylift-model-runner.cc
+++ b/src/runtime/gooseberrylift-model-runner.cc
@@ -312,7 +312,7 @@
         co_return taken.error();
       }
     }
-    const bool reading = co_await aSink.OnPause();
+    const bool reading = co_await aSink.Flush();
     if (!reading) {
       aProgress.callerLeft_ = true;
       co_return Error{ .code_ = ResultCode::kCallerLeft,
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -40,7 +40,7 @@
     placement.value().Finish(
       { .endpointAtFault_ = failure.code_ != ResultCode::kCallerLeft });
     const bool untaken = failure.ran_ == RanState::kNo;
-    if ((!untaken && !aCall.repeatable_) ||
+    if ((!untaken && !aCall.retryable_) ||
         failure.code_ == ResultCode::kCallerLeft ||
         failure.code_ == ResultCode::kDeadlineExceeded) {
       break;
@@ -61,7 +61,7 @@
   // call that dies on it may or may not have run. A call that can't be
   // repeated therefore gets a connection of its own.
   const HttpClient::CallOptions options{ .freshConnection_ =
-                                           !aCall.repeatable_ };
+                                           !aCall.retryable_ };
   if (aCall.mayDispatch_ && !aCall.mayDispatch_()) {
     co_return Error{ .code_ = ResultCode::kDeadlineExceeded };
   }
