--- a/fakes/platform/gooseberrylift-fake-fleet-store.cc
+++ b/fakes/platform/gooseberrylift-fake-fleet-store.cc
@@ -83,7 +83,7 @@
     const std::string kind = aKey.substr(0, slash);
     const std::string name =
       slash == std::string::npos ? "" : aKey.substr(slash + 1);
-    if (request.method_ == "GET" && !request.Query("watch").empty()) {
+    if (request.method_ == "GET" && !request.QueryParameter("watch").empty()) {
       co_await Watch(aExchange, kind);
       co_return;
     }
@@ -106,9 +106,9 @@
 
   int List(const HttpRequest& aRequest, const std::string& aKind, json& aBody)
   {
-    const bool anyAge = !aRequest.Query(names::kAllowStale).empty();
+    const bool anyAge = !aRequest.QueryParameter(names::kAllowStale).empty();
     ++counts_[(anyAge ? "list-any-age " : "list ") + aKind];
-    const std::string after(aRequest.Query("after"));
+    const std::string after(aRequest.QueryParameter("after"));
     json items = json::array();
     bool more = false;
     auto& source = anyAge && !staleKinds_.empty() ? staleKinds_ : kinds_;
@@ -172,8 +172,10 @@
   asio::awaitable<void> Watch(HttpExchange& aExchange, std::string aKind)
   {
     const HttpRequest& request = aExchange.Request();
-    const auto from = std::stoull("0" + std::string(request.Query("watch")));
-    const auto wait = std::atoi(std::string(request.Query("waitMs")).c_str());
+    const auto from =
+      std::stoull("0" + std::string(request.QueryParameter("watch")));
+    const auto wait =
+      std::atoi(std::string(request.QueryParameter("waitMs")).c_str());
     const TimePoint end = TimerService::Now() + milliseconds(wait);
     while (TimerService::Now() < end && (IsMute() || !HasNews(aKind, from))) {
       if (outage_) {
--- a/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
+++ b/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
@@ -13,7 +13,7 @@
 
 /// Removes hop-by-hop fields and the fields that this host sets in requests to
 /// endpoints.
-HttpFields WithoutOwnFields(const HttpFields& aFields);
+HttpFields WithoutHostFields(const HttpFields& aFields);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
@@ -44,7 +44,7 @@
 private:
   boost::asio::awaitable<void> WaitForFirstProof();
   Outcome<RoutedRequest> Resolve(const HttpRequest& aRequest,
-                                 CallerFacts aFacts,
+                                 CallerRequestMetadata aFacts,
                                  TimePoint aArrived);
   boost::asio::awaitable<Outcome<void>> RunRequest(HttpExchange& aExchange,
                                                    RequestRun& aRun);
--- a/include/gooseberrylift/internal/gooseberrylift-http-client.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-client.h
@@ -44,7 +44,7 @@
 
   /// Returns whether a length or a final chunk marks the end of the body. If
   /// only the close of the connection does, the body may be truncated.
-  virtual bool EndIsCertain() const = 0;
+  virtual bool HasExplicitEnd() const = 0;
 };
 
 // Pools idle connections by address. Thread-safe:
@@ -65,7 +65,7 @@
 
   struct CallOptions
   {
-    bool freshConnection_ = false; // don't use an idle connection
+    bool forceNewConnection_ = false; // don't use an idle connection
     // An idle connection that has been idle for longer is closed.
     std::chrono::milliseconds maxIdle_{ std::chrono::hours(1) };
     // Overrides the timeout of the client.
@@ -113,8 +113,9 @@
   /// process listens there.
   /// @return true only if the connection was refused; a timeout doesn't show
   /// that no process listens
-  boost::asio::awaitable<bool> IsRefused(std::string aAddress,
-                                         std::chrono::milliseconds aTimeout);
+  boost::asio::awaitable<bool> IsConnectionRefused(
+    std::string aAddress,
+    std::chrono::milliseconds aTimeout);
 
 private:
   class Impl;
--- a/include/gooseberrylift/internal/gooseberrylift-http-server.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-server.h
@@ -32,7 +32,7 @@
 
 /// Returns the result code for a cancelled handler.
 /// @param aDefault returned for the reasons that have no result code
-ResultCode CodeOf(AbortReason aReason, ResultCode aDefault);
+ResultCode ResultCodeOf(AbortReason aReason, ResultCode aDefault);
 
 // One request and its response. Handlers run on the connection's strand and
 // respond once, either with a complete response or with a stream. When the
@@ -70,11 +70,11 @@
   virtual boost::asio::awaitable<bool> Finish() = 0;
 
   /// Closes the connection without a response or in the middle of one.
-  virtual void Drop() = 0;
+  virtual void Disconnect() = 0;
 
   /// Returns whether sending a response has begun, or the connection was
   /// closed, so that no other response can be sent.
-  virtual bool Started() const = 0;
+  virtual bool ResponseStarted() const = 0;
 
   /// Cancels the handler with the reason kDeadline at the given time.
   virtual void SetDeadline(TimePoint aDeadline) = 0;
@@ -148,7 +148,7 @@
     TimePoint aDeadline);
 
   /// Returns the number of requests that are being read or handled.
-  std::size_t Active() const;
+  std::size_t ActiveRequests() const;
 
   /// Cancels all running handlers with the reason kStopping, so that they can
   /// still send an error response.
--- a/include/gooseberrylift/internal/gooseberrylift-http.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http.h
@@ -50,7 +50,7 @@
   std::string_view Path() const;
 
   /// Returns a query parameter without decoding it, or an empty string.
-  std::string_view Query(std::string_view aName) const;
+  std::string_view QueryParameter(std::string_view aName) const;
 };
 
 struct HttpResponse
@@ -69,7 +69,7 @@
 /// endpoints echo. A response without it is rejected, because a late response
 /// or one to another request, such as a load report, can't be told apart from
 /// it.
-bool IsAnswerTo(const HttpResponse& aHead, std::string_view aRequestId);
+bool IsResponseTo(const HttpResponse& aHead, std::string_view aRequestId);
 
 // GCC 12 destroys a temporary aggregate in a co_await expression twice.
 // Coroutines must therefore create messages with these functions or in a named
--- a/include/gooseberrylift/internal/gooseberrylift-memory-reservation.h
+++ b/include/gooseberrylift/internal/gooseberrylift-memory-reservation.h
@@ -62,7 +62,7 @@
   MemoryReservation(const MemoryReservation&) = delete;
   MemoryReservation& operator=(const MemoryReservation&) = delete;
 
-  const std::string& TicketId() const { return ticketId_; }
+  const std::string& TicketId() const { return reservationId_; }
 
 private:
   MemoryReservation(Parts aParts,
@@ -78,7 +78,7 @@
                                                      TimePoint aDeadline);
 
   Parts parts_;
-  std::string ticketId_;
+  std::string reservationId_;
   std::uint64_t tokens_;
   Options options_;
   std::vector<std::string> addresses_; // where memory is or may be reserved
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -41,7 +41,7 @@
 {
   std::string fingerprint_; // the same for each retry of it
   std::uint64_t id_ = 0;    // unique on this host
-  CallerFacts facts_;
+  CallerRequestMetadata facts_;
   RouteTable::Ptr table_;
   const Route* route_ = nullptr; // owned by table_
   std::string service_;
@@ -130,7 +130,7 @@
     const Fleet::ActiveRequest& aActiveRequest);
   std::optional<Error> ValidateHead(const HttpResponse& aHead,
                                     const Fleet::ActiveRequest& aActiveRequest);
-  void RecordRateLimit(const EndpointFacts& aFacts,
+  void RecordRateLimit(const EndpointResponseMetadata& aFacts,
                        const Fleet::ActiveRequest& aActiveRequest);
   boost::asio::awaitable<Outcome<void>> ForwardBuffered(
     HttpCall& aCall,
--- a/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
+++ b/include/gooseberrylift/internal/gooseberrylift-wire-dialect.h
@@ -19,48 +19,48 @@
 namespace gooseberrylift {
 
 // Metadata of a caller's request from its header fields.
-struct CallerFacts
+struct CallerRequestMetadata
 {
   std::string attemptId_; // differs for each retry by the caller
   std::string host_;
   std::string teamKey_;
   // How long the caller waits for the response.
-  std::optional<std::chrono::milliseconds> patience_;
+  std::optional<std::chrono::milliseconds> callerTimeout_;
   std::uint64_t promptTokens_ = 0; // 0 if the request is not a generation
   std::uint64_t answerTokens_ = 0; // upper bound
   std::optional<std::uint64_t> lastEventId_; // of the stream to resume
 };
 
 // An engine that prefills a part of a prompt for another engine.
-struct PromptHelper
+struct PrefillHelper
 {
-  std::string address_;  // IP:port
-  std::string ticketId_; // of memory reserved there; empty if none
+  std::string address_;       // IP:port
+  std::string reservationId_; // of memory reserved there; empty if none
 };
 
 // Metadata that this host adds to a request to an endpoint.
-struct EndpointSend
+struct EndpointRequestMetadata
 {
   std::string endpointId_; // any other incarnation must reject the request
   std::string team_;       // empty if the request needs no key
-  bool hidesKey_ = false;  // don't forward the caller's key
+  bool removeCallerKey_ = false; // don't forward the caller's key
   std::chrono::milliseconds remaining_{ 0 };
   std::optional<std::uint64_t> lastEventId_;
-  std::optional<int> urgency_; // 0 is the highest, 9 the lowest
-  std::vector<PromptHelper> helpers_;
+  std::optional<int> priorityClass_; // 0 is the highest, 9 the lowest
+  std::vector<PrefillHelper> helpers_;
 };
 
 // Metadata of an endpoint's response from its status and header fields.
-struct EndpointFacts
+struct EndpointResponseMetadata
 {
-  std::string attemptId_; // of the corresponding request
-  bool genuine_ = false;  // has the response stamp of the endpoint
+  std::string attemptId_;         // of the corresponding request
+  bool hasResponseStamp_ = false; // has the response stamp of the endpoint
   // Whether the endpoint guarantees that the request did not run.
-  bool notRun_ = false;
+  bool notExecuted_ = false;
   // Whether the address belongs to another incarnation now.
-  bool replaced_ = false;
-  std::string atFault_; // IP:port; empty if no helper failed
-  AdvertisedRateLimit rate_;
+  bool instanceReplaced_ = false;
+  std::string failedHelperAddress_; // IP:port; empty if no helper failed
+  AdvertisedRateLimit advertisedRateLimit_;
 };
 
 // Kinds and names of the store objects that the gateway watches.
@@ -79,50 +79,55 @@
 public:
   virtual ~WireDialect() = default;
 
-  virtual CallerFacts ReadCaller(const HttpRequest& aRequest) const = 0;
+  virtual CallerRequestMetadata ParseCallerRequest(
+    const HttpRequest& aRequest) const = 0;
 
   /// Creates the request to an endpoint from the caller's, without hop-by-hop
   /// fields and with the fields that this host sets.
-  virtual HttpRequest ForEndpoint(const HttpRequest& aCaller,
-                                  const EndpointSend& aMetadata) const = 0;
+  virtual HttpRequest MakeEndpointRequest(
+    const HttpRequest& aCaller,
+    const EndpointRequestMetadata& aMetadata) const = 0;
 
-  virtual EndpointFacts ReadEndpoint(const HttpResponse& aHead) const = 0;
+  virtual EndpointResponseMetadata ParseEndpointResponse(
+    const HttpResponse& aHead) const = 0;
 
   /// Creates the status and header fields that the caller receives from those
   /// of an endpoint's response.
-  virtual HttpResponse ForCaller(const HttpResponse& aHead) const = 0;
+  virtual HttpResponse MakeCallerResponse(const HttpResponse& aHead) const = 0;
 
   /// Creates the response for an error of this host.
   /// @param aStatus the HTTP status; it must not claim more about whether the
   /// request ran than is known
   /// @param aAttemptId the attempt ID of the request, empty if it had none
-  virtual HttpResponse OwnAnswer(int aStatus,
-                                 const Error& aError,
-                                 const std::string& aAttemptId) const = 0;
+  virtual HttpResponse MakeHostErrorResponse(
+    int aStatus,
+    const Error& aError,
+    const std::string& aAttemptId) const = 0;
 
   /// Creates the request that reserves memory at an engine or renews a
   /// reservation.
   /// @param aReservationId identifies the reservation for use, renewal and
   /// release
   /// @param aHoldFor time after which the engine releases it by itself
-  virtual HttpRequest ReserveOrder(
+  virtual HttpRequest MakeReserveRequest(
     const std::string& aReservationId,
     std::uint64_t aTokens,
     std::chrono::milliseconds aHoldFor) const = 0;
 
   /// Creates the request that releases reserved memory.
-  virtual HttpRequest ReleaseOrder(const std::string& aReservationId) const = 0;
+  virtual HttpRequest MakeReleaseRequest(
+    const std::string& aReservationId) const = 0;
 
   virtual StoreKinds Kinds() const = 0;
 
   /// Parses a route document.
   /// @return the routes, or kConfigurationInvalid with the path of the error
-  virtual Outcome<RouteDocument> ReadRoutes(
+  virtual Outcome<RouteDocument> ParseRoutes(
     const nlohmann::json& aSpec) const = 0;
 
   /// Parses an endpoint's entry.
   /// @return the entry, or kEntryInvalid with the path of the error
-  virtual Outcome<ListedEndpoint> ReadListed(
+  virtual Outcome<ListedEndpoint> ParseListedEndpoint(
     const StoreObject& aObject) const = 0;
 };
 
--- a/src/cli/gooseberrylift-admin-client.cc
+++ b/src/cli/gooseberrylift-admin-client.cc
@@ -15,10 +15,10 @@
 
 namespace {
 
-asio::awaitable<void> Query(HttpClient& aClient,
-                            HttpRequest aRequest,
-                            TimePoint aDeadline,
-                            AdminAnswer& aAnswer)
+asio::awaitable<void> QueryParameter(HttpClient& aClient,
+                                     HttpRequest aRequest,
+                                     TimePoint aDeadline,
+                                     AdminAnswer& aAnswer)
 {
   auto response =
     co_await aClient.Fetch(aAnswer.address_, std::move(aRequest), aDeadline);
@@ -86,8 +86,9 @@
   HttpClient client(context.get_executor(), HttpClient::Options{});
   const TimePoint deadline = TimerService::Now() + aOptions.timeout_;
   for (AdminAnswer& answer : answers) {
-    asio::co_spawn(
-      context, Query(client, request, deadline, answer), asio::detached);
+    asio::co_spawn(context,
+                   QueryParameter(client, request, deadline, answer),
+                   asio::detached);
   }
   context.run();
   return answers;
--- a/src/front/gooseberrylift-caller-api-stored.cc
+++ b/src/front/gooseberrylift-caller-api-stored.cc
@@ -32,7 +32,7 @@
     co_return answer.error();
   }
   HttpResponse response = std::move(answer.value());
-  response.fields_ = WithoutOwnFields(response.fields_);
+  response.fields_ = WithoutHostFields(response.fields_);
   response.fields_.push_back({ "X-Request-Id", requestId });
   const bool sent = co_await aExchange.Send(std::move(response));
   if (!sent) {
--- a/src/front/gooseberrylift-caller-api.cc
+++ b/src/front/gooseberrylift-caller-api.cc
@@ -150,7 +150,7 @@
 private:
   asio::awaitable<bool> Open()
   {
-    if (exchange_.Started()) {
+    if (exchange_.ResponseStarted()) {
       co_return true;
     }
     co_return co_await exchange_.StartStream(
@@ -196,12 +196,12 @@
 {
   // Without a length or chunked framing, only the close of the connection ends
   // the body, so a truncated one cannot be told from a complete one.
-  if (!aCall.EndIsCertain()) {
+  if (!aCall.HasExplicitEnd()) {
     co_return Error{ .code_ = ResultCode::kAnswerEndUnknown,
                      .ran_ = RanState::kYes };
   }
   HttpResponse head{ .status_ = aCall.Head().status_,
-                     .fields_ = WithoutOwnFields(aCall.Head().fields_) };
+                     .fields_ = WithoutHostFields(aCall.Head().fields_) };
   head.fields_.push_back({ "X-Request-Id", aRequestId });
   while (true) {
     auto chunk = co_await aCall.ReadSome();
@@ -211,7 +211,7 @@
     if (!chunk.value()) {
       break;
     }
-    if (aExchange.Started()) {
+    if (aExchange.ResponseStarted()) {
       const bool written = co_await aExchange.Write(*chunk.value());
       if (!written) {
         co_return Error{ .code_ = ResultCode::kCallerLeft,
@@ -227,7 +227,7 @@
     }
   }
   bool sent = false;
-  if (aExchange.Started()) {
+  if (aExchange.ResponseStarted()) {
     sent = co_await aExchange.Finish();
   } else {
     sent = co_await aExchange.Send(std::move(head));
@@ -415,7 +415,7 @@
   if (!target.starts_with('/')) {
     target.insert(0, "/");
   }
-  HttpFields fields = WithoutOwnFields(request.fields_);
+  HttpFields fields = WithoutHostFields(request.fields_);
   fields.push_back({ "X-Request-Id", aRequest.id_ });
   fields.push_back({ "X-Team", aRequest.team_->name_ });
   SetBurnService(aRequest, *service, 0);
@@ -478,7 +478,7 @@
   if (aExchange.Reason() == AbortReason::kCallerStalled) {
     co_return;
   }
-  if (!aExchange.Started()) {
+  if (!aExchange.ResponseStarted()) {
     co_await aExchange.Send(ErrorResponse(aError, aRequest.id_));
     co_return;
   }
--- a/src/front/gooseberrylift-config-api.cc
+++ b/src/front/gooseberrylift-config-api.cc
@@ -148,9 +148,9 @@
   aExchange.KeepRunningWithoutCaller();
   const HttpRequest& request = aExchange.Request();
   const auto accepted =
-    co_await ApplyChange(ParseNumber(request.Query("base")),
+    co_await ApplyChange(ParseNumber(request.QueryParameter("base")),
                          request.body_,
-                         std::string(request.Query("author")));
+                         std::string(request.QueryParameter("author")));
   if (!accepted) {
     co_await aExchange.Send(ErrorResponse(accepted.error(), {}));
     co_return;
@@ -174,7 +174,8 @@
 
 asio::awaitable<void> ConfigApi::HandleGeneration(HttpExchange& aExchange)
 {
-  const std::uint64_t number = ParseNumber(aExchange.Request().Query("number"));
+  const std::uint64_t number =
+    ParseNumber(aExchange.Request().QueryParameter("number"));
   const auto text = co_await ReadGeneration(
     number, TimerService::Now() + options_.callTimeout_);
   if (!text) {
--- a/src/front/gooseberrylift-log-routes.cc
+++ b/src/front/gooseberrylift-log-routes.cc
@@ -21,7 +21,8 @@
 
 HttpResponse ChangeLevel(const HttpRequest& aRequest)
 {
-  if (!SetLogLevel(aRequest.Query("component"), aRequest.Query("level"))) {
+  if (!SetLogLevel(aRequest.QueryParameter("component"),
+                   aRequest.QueryParameter("level"))) {
     return ErrorResponse(
       MakeError(ResultCode::kBadField,
                 "component: must be one of those that GET /log lists, or "
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -55,7 +55,7 @@
 }
 
 Outcome<RoutedRequest> GatewayFront::Resolve(const HttpRequest& aRequest,
-                                             CallerFacts aFacts,
+                                             CallerRequestMetadata aFacts,
                                              TimePoint aArrived)
 {
   RoutedRequest request{ .id_ = ++nextId_,
@@ -92,7 +92,7 @@
     aRequest.target_, request.facts_.teamKey_, aRequest.body_);
   request.service_ = RouteTable::ChooseService(*request.route_, RandomNumber());
   const milliseconds timeout =
-    request.facts_.patience_.value_or(request.route_->timeout_);
+    request.facts_.callerTimeout_.value_or(request.route_->timeout_);
   request.deadline_ = aArrived + std::min(timeout, request.route_->timeout_);
   return request;
 }
@@ -111,7 +111,8 @@
 {
   const TimePoint arrived = TimerService::Now();
   co_await WaitForFirstProof();
-  CallerFacts facts = parts_.dialect_.ReadCaller(aExchange.Request());
+  CallerRequestMetadata facts =
+    parts_.dialect_.ParseCallerRequest(aExchange.Request());
   const std::string attemptId = facts.attemptId_;
   auto request = Resolve(aExchange.Request(), std::move(facts), arrived);
   if (!request) {
@@ -132,7 +133,7 @@
     co_return;
   }
   RecordFailure(attemptId, routed.route_->name_, done.error(), arrived);
-  if (!aExchange.Started()) {
+  if (!aExchange.ResponseStarted()) {
     co_await SendErrorResponse(aExchange, attemptId, done.error());
   }
   // A started stream is left unfinished, which tells the caller that it is
@@ -154,7 +155,8 @@
   if (!aborted && (done || !stopped)) {
     co_return done;
   }
-  Error error = MakeError(CodeOf(aExchange.Reason(), ResultCode::kCallerLeft));
+  Error error =
+    MakeError(ResultCodeOf(aExchange.Reason(), ResultCode::kCallerLeft));
   error.ran_ = aRun.Sends() > 0 ? RanState::kUnknown : RanState::kNo;
   if (stopped && error.ran_ == RanState::kNo) {
     error.retryAfter_ = RandomRetryDelay();
@@ -171,8 +173,8 @@
       aExchange.Reason() == AbortReason::kCallerStalled) {
     co_return;
   }
-  HttpResponse answer =
-    parts_.dialect_.OwnAnswer(HttpStatusOf(aError), aError, aAttemptId);
+  HttpResponse answer = parts_.dialect_.MakeHostErrorResponse(
+    HttpStatusOf(aError), aError, aAttemptId);
   co_await aExchange.Send(std::move(answer));
 }
 
--- a/src/gateway/gooseberrylift-memory-reservation.cc
+++ b/src/gateway/gooseberrylift-memory-reservation.cc
@@ -13,7 +13,7 @@
                                      std::uint64_t aTokens,
                                      Options aOptions)
   : parts_(std::move(aParts))
-  , ticketId_(std::move(aTicketId))
+  , reservationId_(std::move(aTicketId))
   , tokens_(aTokens)
   , options_(aOptions)
 {
@@ -26,8 +26,10 @@
   for (const std::string& address : addresses_) {
     SpawnCleanup(
       parts_.executor_,
-      SendBestEffort(
-        parts_, address, parts_.dialect_.ReleaseOrder(ticketId_), deadline));
+      SendBestEffort(parts_,
+                     address,
+                     parts_.dialect_.MakeReleaseRequest(reservationId_),
+                     deadline));
   }
 }
 
@@ -64,8 +66,8 @@
 
 asio::awaitable<Outcome<void>> MemoryReservation::Reserve(std::string aAddress)
 {
-  HttpRequest request =
-    parts_.dialect_.ReserveOrder(ticketId_, tokens_, options_.duration_);
+  HttpRequest request = parts_.dialect_.MakeReserveRequest(
+    reservationId_, tokens_, options_.duration_);
   const auto answer =
     co_await parts_.client_.Fetch(std::move(aAddress),
                                   std::move(request),
@@ -87,8 +89,8 @@
     SpawnTask(parts_.executor_,
               SendBestEffort(parts_,
                              address,
-                             parts_.dialect_.ReserveOrder(
-                               ticketId_, tokens_, options_.duration_),
+                             parts_.dialect_.MakeReserveRequest(
+                               reservationId_, tokens_, options_.duration_),
                              deadline));
   }
 }
--- a/src/gateway/gooseberrylift-poison-request-monitor.cc
+++ b/src/gateway/gooseberrylift-poison-request-monitor.cc
@@ -51,8 +51,8 @@
   ListedEndpoint aEndpoint)
 {
   co_await TimerService::SleepFor(kCheckDelay);
-  const bool refused =
-    co_await parts_.client_.IsRefused(aEndpoint.address_, kCheckTimeout);
+  const bool refused = co_await parts_.client_.IsConnectionRefused(
+    aEndpoint.address_, kCheckTimeout);
   {
     const std::lock_guard lock(mutex_);
     beingChecked_.erase(aEndpoint.id_);
--- a/src/gateway/gooseberrylift-request-answer.cc
+++ b/src/gateway/gooseberrylift-request-answer.cc
@@ -90,15 +90,15 @@
 
 // Records the rate limit in a response. A response of another incarnation
 // doesn't apply to this one, and an unsigned response must not lift a limit.
-void RequestRun::RecordRateLimit(const EndpointFacts& aFacts,
+void RequestRun::RecordRateLimit(const EndpointResponseMetadata& aFacts,
                                  const Fleet::ActiveRequest& aActiveRequest)
 {
   const bool isNamed =
-    aFacts.rate_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
-  if (!aFacts.replaced_ && (isNamed || aFacts.genuine_)) {
+    aFacts.advertisedRateLimit_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
+  if (!aFacts.instanceReplaced_ && (isNamed || aFacts.hasResponseStamp_)) {
     parts_.limiter_.OnAnswer(
       aActiveRequest.Placement().endpoint_.IncarnationId(),
-      aFacts.rate_,
+      aFacts.advertisedRateLimit_,
       aActiveRequest.SentAt());
   }
 }
@@ -109,7 +109,8 @@
   const Fleet::ActiveRequest& aActiveRequest)
 {
   const FleetPlacement& placement = aActiveRequest.Placement();
-  const EndpointFacts facts = parts_.dialect_.ReadEndpoint(aHead);
+  const EndpointResponseMetadata facts =
+    parts_.dialect_.ParseEndpointResponse(aHead);
   // A late response to an earlier request could be mistaken for this one's. A
   // refusal in it would not prove that this request has not run.
   if (facts.attemptId_ != request_.facts_.attemptId_) {
@@ -118,25 +119,26 @@
                   .ran_ = RanState::kUnknown };
   }
   RecordRateLimit(facts, aActiveRequest);
-  if (facts.replaced_) {
+  if (facts.instanceReplaced_) {
     parts_.fleet_.WithDirectory([&](EndpointDirectory& aDirectory) {
       aDirectory.OnReplaced(placement.endpoint_.id_);
     });
   }
-  if (facts.notRun_) {
+  if (facts.notExecuted_) {
     // The next attempt must not use the same helper again.
     for (const ListedEndpoint& helper : placement.helpers_) {
-      if (helper.address_ == facts.atFault_) {
+      if (helper.address_ == facts.failedHelperAddress_) {
         tried_.insert(helper.id_);
       }
     }
     return Error{ .code_ = ResultCode::kEndpointRefused,
-                  .text_ =
-                    "status " + std::to_string(aHead.status_) +
-                    (facts.atFault_.empty() ? "" : " at " + facts.atFault_),
+                  .text_ = "status " + std::to_string(aHead.status_) +
+                           (facts.failedHelperAddress_.empty()
+                              ? ""
+                              : " at " + facts.failedHelperAddress_),
                   .retryAfter_ = RandomRetryDelay() };
   }
-  if (!facts.genuine_) {
+  if (!facts.hasResponseStamp_) {
     return MakeBrokenError("an answer without the endpoint's signature");
   }
   if (!aHead.Field("Content-Encoding").empty()) {
@@ -165,7 +167,7 @@
   HttpCall& aCall,
   const Fleet::ActiveRequest& aActiveRequest)
 {
-  HttpResponse answer = parts_.dialect_.ForCaller(aCall.Head());
+  HttpResponse answer = parts_.dialect_.MakeCallerResponse(aCall.Head());
   while (true) {
     auto chunk = co_await ReadChunk(aCall, aActiveRequest);
     if (!chunk) {
@@ -201,8 +203,8 @@
 {
   streamStarted_ = true;
   RecordResponseStart(aCall.Head().status_);
-  bool open =
-    co_await exchange_.StartStream(parts_.dialect_.ForCaller(aCall.Head()));
+  bool open = co_await exchange_.StartStream(
+    parts_.dialect_.MakeCallerResponse(aCall.Head()));
   if (open) {
     open = co_await exchange_.Write(aBuffered);
   }
@@ -309,7 +311,8 @@
   }
   streamStarted_ = true;
   RecordResponseStart(aHead.status_);
-  co_return co_await exchange_.StartStream(parts_.dialect_.ForCaller(aHead));
+  co_return co_await exchange_.StartStream(
+    parts_.dialect_.MakeCallerResponse(aHead));
 }
 
 asio::awaitable<Outcome<void>> RequestRun::SendSavedFailure()
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -191,22 +191,23 @@
   const FleetPlacement& aPlacement,
   const MemoryReservation* aReservation) const
 {
-  EndpointSend send{ .endpointId_ = aPlacement.endpoint_.id_,
-                     .team_ = request_.team_,
-                     .hidesKey_ = request_.table_->NeedsKeys(),
-                     .remaining_ = RemainingTime(),
-                     .urgency_ = PriorityClassOf(request_.priority_,
-                                                 aPlacement.deferred_) };
+  EndpointRequestMetadata send{
+    .endpointId_ = aPlacement.endpoint_.id_,
+    .team_ = request_.team_,
+    .removeCallerKey_ = request_.table_->NeedsKeys(),
+    .remaining_ = RemainingTime(),
+    .priorityClass_ = PriorityClassOf(request_.priority_, aPlacement.deferred_)
+  };
   if (events_.Last()) {
     send.lastEventId_ = events_.Last();
   }
   for (const ListedEndpoint& helper : aPlacement.helpers_) {
     send.helpers_.push_back({ .address_ = helper.address_,
-                              .ticketId_ = aReservation == nullptr
-                                             ? std::string()
-                                             : aReservation->TicketId() });
+                              .reservationId_ = aReservation == nullptr
+                                                  ? std::string()
+                                                  : aReservation->TicketId() });
   }
-  return parts_.dialect_.ForEndpoint(exchange_.Request(), send);
+  return parts_.dialect_.MakeEndpointRequest(exchange_.Request(), send);
 }
 
 // Reserves memory at the helpers if the prompt doesn't fit into the memory of
--- a/src/gateway/gooseberrylift-route-follower.cc
+++ b/src/gateway/gooseberrylift-route-follower.cc
@@ -18,7 +18,7 @@
       object.version_ == decodedVersion_) {
     return; // unchanged documents are not decoded again
   }
-  auto document = dialect_.ReadRoutes(object.spec_);
+  auto document = dialect_.ParseRoutes(object.spec_);
   if (!document) {
     if (rejectedVersion_ != object.version_) {
       rejectedVersion_ = object.version_;
@@ -88,7 +88,7 @@
 // Each version of an invalid entry is logged once, however often it is read.
 std::optional<ListedEndpoint> EndpointFollower::Read(const StoreObject& aObject)
 {
-  auto listed = dialect_.ReadListed(aObject);
+  auto listed = dialect_.ParseListedEndpoint(aObject);
   if (listed) {
     rejectedVersions_.erase(aObject.name_);
     return std::move(listed.value());
--- a/src/net/gooseberrylift-http-client.cc
+++ b/src/net/gooseberrylift-http-client.cc
@@ -246,7 +246,7 @@
 
   const HttpResponse& Head() const override { return head_; }
 
-  bool EndIsCertain() const override { return !parser_.need_eof(); }
+  bool HasExplicitEnd() const override { return !parser_.need_eof(); }
 
   void SetDeadline(TimePoint aDeadline) override { deadline_ = aDeadline; }
 
@@ -322,7 +322,7 @@
 {
   const std::shared_ptr<Impl> impl = impl_;
   std::unique_ptr<Connection> connection;
-  if (!aOptions.freshConnection_) {
+  if (!aOptions.forceNewConnection_) {
     connection = impl->TakeIdle(aAddress, aOptions.maxIdle_);
   }
   if (!connection) {
@@ -358,8 +358,9 @@
   co_return std::unique_ptr<HttpCall>(std::move(call));
 }
 
-asio::awaitable<bool> HttpClient::IsRefused(std::string aAddress,
-                                            std::chrono::milliseconds aTimeout)
+asio::awaitable<bool> HttpClient::IsConnectionRefused(
+  std::string aAddress,
+  std::chrono::milliseconds aTimeout)
 {
   const auto endpoint = ParseAddress(aAddress);
   if (!endpoint) {
--- a/src/net/gooseberrylift-http-server.cc
+++ b/src/net/gooseberrylift-http-server.cc
@@ -17,7 +17,7 @@
 
 } // namespace
 
-ResultCode CodeOf(AbortReason aReason, ResultCode aDefault)
+ResultCode ResultCodeOf(AbortReason aReason, ResultCode aDefault)
 {
   switch (aReason) {
     case AbortReason::kDeadline:
@@ -176,10 +176,10 @@
   while (impl_->state_->active_ > 0 && TimerService::Now() < aDeadline) {
     co_await TimerService::SleepFor(kPollInterval);
   }
-  co_return Active();
+  co_return ActiveRequests();
 }
 
-std::size_t HttpServer::Active() const
+std::size_t HttpServer::ActiveRequests() const
 {
   return static_cast<std::size_t>(impl_->state_->active_);
 }
--- a/src/net/gooseberrylift-http-session.cc
+++ b/src/net/gooseberrylift-http-session.cc
@@ -116,11 +116,11 @@
   const HttpRequest& Request() const override { return request_; }
   HttpRequest& MutableRequest() override { return request_; }
   const std::string& Peer() const override { return peer_; }
-  bool Started() const override { return started_; }
+  bool ResponseStarted() const override { return started_; }
   AbortReason Reason() const override { return reason_; }
   void KeepRunningWithoutCaller() override { keepRunning_ = true; }
 
-  void Drop() override
+  void Disconnect() override
   {
     started_ = true; // prevents further responses
     reusable_ = false;
@@ -341,7 +341,7 @@
     boost::system::error_code ignored;
     socket_.cancel(ignored);
     if (!started_ && reason_ != AbortReason::kCallerLeft) {
-      Error error = MakeError(CodeOf(reason_, ResultCode::kInternal));
+      Error error = MakeError(ResultCodeOf(reason_, ResultCode::kInternal));
       error.ran_ = RanState::kUnknown;
       co_await Send(ErrorResponse(error, {}));
     }
--- a/src/runtime/gooseberrylift-model-runner.cc
+++ b/src/runtime/gooseberrylift-model-runner.cc
@@ -93,7 +93,7 @@
     return std::nullopt;
   }
   const bool notRun =
-    aHead.Field("X-Not-Run") == "true" && IsAnswerTo(aHead, aRequestId);
+    aHead.Field("X-Not-Run") == "true" && IsResponseTo(aHead, aRequestId);
   return Error{ .code_ = notRun ? ResultCode::kEndpointRefused
                                 : ResultCode::kEndpointBroken,
                 .text_ = "the engine answered " + std::to_string(aHead.status_),
@@ -260,7 +260,7 @@
   }
   const HttpResponse& head = call.value()->Head();
   if (head.Field("X-Endpoint-State") == "leaving" &&
-      IsAnswerTo(head, aGeneration.requestId_)) {
+      IsResponseTo(head, aGeneration.requestId_)) {
     tracker_.ReportLeaving(aPlacement.Endpoint().name_);
   }
   if (auto fault = ErrorFromStatus(head, aGeneration.requestId_)) {
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -60,7 +60,7 @@
   // The endpoint may close a pooled connection at any moment, and a call that
   // fails on it may or may not have been executed. A call that can't be retried
   // therefore gets a new connection.
-  const HttpClient::CallOptions options{ .freshConnection_ =
+  const HttpClient::CallOptions options{ .forceNewConnection_ =
                                            !aCall.retryable_ };
   if (aCall.mayDispatch_ && !aCall.mayDispatch_()) {
     co_return Error{ .code_ = ResultCode::kDeadlineExceeded };
@@ -77,7 +77,7 @@
   // Checked before any other part of the response: a rejection that belongs to
   // another request says nothing about this call, and a retry based on it could
   // execute the call twice.
-  if (!IsAnswerTo(head, aCall.requestId_)) {
+  if (!IsResponseTo(head, aCall.requestId_)) {
     co_return Error{ .code_ = ResultCode::kEndpointCrossed,
                      .ran_ = RanState::kUnknown };
   }
