--- a/fakes/gooseberrylift-fake-batch.cc
+++ b/fakes/gooseberrylift-fake-batch.cc
@@ -7,12 +7,12 @@
 Sequence* FakeBatch::Add(Sequence aSequence)
 {
   aSequence.serial_ = ++serial_;
-  // Kept in order of priority; equal ones stay in order of arrival.
-  const auto place = std::find_if(
+  // Ordered by priority, then by arrival.
+  const auto position = std::find_if(
     sequences_.begin(), sequences_.end(), [&](const Sequence& aOther) {
       return aOther.priority_ > aSequence.priority_;
     });
-  return &*sequences_.insert(place, std::move(aSequence));
+  return &*sequences_.insert(position, std::move(aSequence));
 }
 
 void FakeBatch::Remove(Sequence* aSequence)
@@ -71,7 +71,7 @@
   }
 }
 
-bool FakeBatch::Hold(const std::string& aExport, KvExport aContents)
+bool FakeBatch::ReserveExport(const std::string& aExport, KvExport aContents)
 {
   if (kvUsed_ + aContents.tokens_ > options_.kvTokens_ ||
       exports_.contains(aExport)) {
@@ -82,7 +82,7 @@
   return true;
 }
 
-bool FakeBatch::Free(const std::string& aExport)
+bool FakeBatch::ReleaseExport(const std::string& aExport)
 {
   const auto found = exports_.find(aExport);
   if (found == exports_.end()) {
@@ -105,8 +105,8 @@
 std::size_t FakeBatch::Running() const
 {
   return static_cast<std::size_t>(std::count_if(
-    sequences_.begin(), sequences_.end(), [](const Sequence& aOne) {
-      return aOne.admitted_;
+    sequences_.begin(), sequences_.end(), [](const Sequence& aEntry) {
+      return aEntry.admitted_;
     }));
 }
 
@@ -119,7 +119,7 @@
     }
     if (running >= options_.maxBatch_ ||
         kvUsed_ + sequence.kvTokens_ > options_.kvTokens_) {
-      return; // the most urgent waits first, so that none is overtaken forever
+      return; // smaller sequences must not overtake and starve this one
     }
     sequence.admitted_ = true;
     kvUsed_ += sequence.kvTokens_;
--- a/fakes/gooseberrylift-fake-batch.h
+++ b/fakes/gooseberrylift-fake-batch.h
@@ -1,5 +1,5 @@
-// The inside of a fake engine: continuous batching on one accelerator with a
-// limited KV memory. No I/O; the fake engine drives it step by step.
+// Simulates continuous batching on one accelerator with a limited KV cache. It
+// does no I/O; the caller advances it step by step.
 
 #ifndef GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_BATCH_H_
 #define GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_BATCH_H_
@@ -13,39 +13,40 @@
 
 namespace gooseberrylift::fakes {
 
-// One generation in the engine.
+// One generation request in the batch.
 struct Sequence
 {
   std::string id_;
   std::uint64_t serial_ = 0; // set by Add
-  int priority_ = 0;         // lower runs first
+  int priority_ = 0;         // lower values run first
   std::uint64_t promptTokens_ = 0;
-  std::uint64_t prefillLeft_ = 0; // tokens still to read in
+  std::uint64_t prefillLeft_ = 0; // prompt tokens not yet processed
   std::uint64_t nextToken_ = 0;
   std::uint64_t maxTokens_ = 0;
-  std::uint64_t kvTokens_ = 0; // reserved while admitted
+  std::uint64_t kvTokens_ = 0; // KV cache reserved while admitted
   bool admitted_ = false;
   bool cancelled_ = false;
 };
 
-// Keys and values held beyond one request, on behalf of an owner.
+// KV cache entries retained for an owner after a request has ended.
 struct KvExport
 {
   std::string owner_;
   std::uint64_t tokens_ = 0;
-  std::uint64_t prefix_ = 0; // hash of the text they stand for
+  std::uint64_t prefix_ = 0; // hash of the cached prompt prefix
 };
 
-// Shares one accelerator among sequences. Each step reads in one chunk of the
-// most urgent prompt and decodes one token for every sequence past its prompt,
-// so a long prompt slows the decoding beside it, as on real engines.
+// Schedules sequences on one accelerator. Each step prefills one chunk of the
+// highest-priority prompt and decodes one token for every sequence whose
+// prefill is complete, so a long prompt slows concurrent decoding, as on real
+// engines.
 class FakeBatch
 {
 public:
   struct Options
   {
-    double prefillLinearUs_ = 2.0;       // a: microseconds per token
-    double prefillQuadraticUs_ = 2.0e-6; // b: microseconds per token squared
+    double prefillLinearUs_ = 2.0;       // per prompt token
+    double prefillQuadraticUs_ = 2.0e-6; // per prompt token squared
     std::chrono::microseconds decodeStep_{ 2000 };
     std::uint64_t chunkTokens_ = 8192;
     std::uint64_t kvTokens_ = 400'000;
@@ -53,7 +54,7 @@
     double slowdown_ = 1.0;
   };
 
-  // The time a step takes, and the sequences that get a token at its end.
+  // The duration of a step and the sequences that receive a token at its end.
   struct Step
   {
     std::chrono::microseconds duration_{ 0 };
@@ -67,7 +68,7 @@
 
   Options& MutableOptions() { return options_; }
 
-  /// Says whether a sequence could run here when nothing else did.
+  /// Returns whether a sequence fits into an otherwise empty KV cache.
   bool Fits(std::uint64_t aTokens) const
   {
     return aTokens <= options_.kvTokens_;
@@ -75,19 +76,23 @@
 
   Sequence* Add(Sequence aSequence);
   void Remove(Sequence* aSequence);
+
+  /// Starts a step: admits waiting sequences and prefills one chunk. The
+  /// sequences receive their tokens when the step ends.
   Step Advance();
 
-  /// Hands the tokens of a step to those sequences that are still there.
+  /// Adds the tokens of a step to the sequences that have not been removed.
   void Deliver(const Step& aStep);
 
-  /// Marks sequences as cancelled by the identifier of their request.
+  /// Marks the sequences of a request as cancelled.
   void CancelById(const std::string& aId);
 
   bool Idle() const { return sequences_.empty(); }
 
-  /// Reserves memory for an export. False when there is too little left.
-  bool Hold(const std::string& aExport, KvExport aContents);
-  bool Free(const std::string& aExport);
+  /// Reserves KV cache for an export. Returns false if the free capacity does
+  /// not suffice or the export exists already.
+  bool ReserveExport(const std::string& aExport, KvExport aContents);
+  bool ReleaseExport(const std::string& aExport);
   const std::map<std::string, KvExport>& Exports() const { return exports_; }
 
   std::uint64_t KvUsed() const { return kvUsed_; }
--- a/fakes/gooseberrylift-fake-engine.cc
+++ b/fakes/gooseberrylift-fake-engine.cc
@@ -1,21 +1,23 @@
-// A model engine: continuous batching, KV memory, priorities, resume, cancel,
-// KV export and import, load report, cache events and orders.
+// A fake inference engine with continuous batching, KV cache limits,
+// priorities, resume, cancellation, KV export and import, load reports, cache
+// events and orders.
 //   POST /v1/chat/completions, /v1/completions
-//        besides the usual fields: "request_id", "priority" (lower first),
+//        additional fields: "request_id", "priority" (lower runs first),
 //        "resume_from" (index of the first token to send), "kv_import"
 //   POST /v1/cancel     {"request_id"}
 //   GET  /load          {"at_ms" (age), "state", "incarnation", ...}
-//   GET  /events?after=N cache events with sequence numbers, some missing
+//   GET  /events?after=N cache events with sequence numbers, with gaps
 //   POST /kv/exports    {"id", "owner", "tokens", "prefix"} 201 or 409
-//   GET  /kv/exports    list;  DELETE /kv/exports/ID  free
-//   POST /orders        {"fencing", "desired"}; 409 when enforced and old
+//   GET  /kv/exports    lists;  DELETE /kv/exports/ID  releases
+//   POST /orders        {"fencing", "desired"}; 409 if enforced and stale
 //   GET  /orders        {"fencing", "desired", "log"}
 //   GET  /stats, POST /control, GET /healthz
 // Settings: name, incarnation, prefill_linear_us, prefill_quadratic_us,
 // decode_us, chunk_tokens, kv_tokens, max_batch, fencing ("enforced" or
-// "ignored"), load_lag_ms, event_gap (drop each n-th), crash_on (a text that
-// kills the engine), control fields: leaving, hang, slowdown, cut_after (stop
-// each stream after n tokens), cross_answers.
+// "ignored"), load_lag_ms, event_gap (drop every n-th), crash_on (a prompt that
+// contains it terminates the process). Settings that /control also accepts:
+// leaving, hang, slowdown, cut_after (abort each stream after n tokens),
+// cross_answers (return a wrong request id).
 
 #include <deque>
 
@@ -34,8 +36,8 @@
 
 namespace {
 
-// The text of a chat or a plain prompt.
-std::string PromptOf(const json& aBody)
+// Returns the prompt of a completion or the joined messages of a chat.
+std::string ExtractPrompt(const json& aBody)
 {
   if (aBody.contains("prompt")) {
     return aBody.value("prompt", "");
@@ -47,7 +49,7 @@
   return prompt;
 }
 
-// Takes a sequence out of its batch at the end of a scope.
+// Removes a sequence from its batch at the end of the scope.
 class SequenceGuard
 {
 public:
@@ -70,10 +72,10 @@
 public:
   FakeEngine(asio::io_context& aContext, const json& aSettings)
     : context_(aContext)
-    , batch_(OptionsOf(aSettings))
+    , batch_(ParseOptions(aSettings))
     , name_(aSettings.value("name", "engine"))
     , incarnation_(aSettings.value("incarnation", std::uint64_t{ 1 }))
-    , enforced_(aSettings.value("fencing", "ignored") == "enforced")
+    , fencingEnforced_(aSettings.value("fencing", "ignored") == "enforced")
     , loadLag_(aSettings.value("load_lag_ms", 0))
     , eventGap_(aSettings.value("event_gap", 0U))
     , crashOn_(aSettings.value("crash_on", ""))
@@ -88,28 +90,29 @@
     if (path.starts_with("/v1/") && path.ends_with("completions")) {
       co_await Generate(aExchange);
     } else if (path == "/v1/cancel") {
-      Cancel(BodyOf(request).value("request_id", ""));
-      co_await Reply(aExchange, 200, json::object());
+      Cancel(ParseJsonBody(request).value("request_id", ""));
+      co_await SendJson(aExchange, 200, json::object());
     } else if (path == "/load") {
-      co_await Reply(aExchange, 200, Load());
+      co_await SendJson(aExchange, 200, MakeLoadReport());
     } else if (path == "/events") {
-      co_await Reply(aExchange, 200, Events(request));
+      co_await SendJson(aExchange, 200, Events(request));
     } else if (path.starts_with("/kv/exports")) {
       co_await aExchange.Send(Exports(request));
     } else if (path == "/orders") {
-      co_await aExchange.Send(Orders(request));
+      co_await aExchange.Send(HandleOrders(request));
     } else if (path == "/control") {
-      Control(BodyOf(request));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(request));
+      co_await SendJson(aExchange, 200, json::object());
     } else if (path == "/stats") {
-      co_await Reply(aExchange, 200, Stats());
+      co_await SendJson(aExchange, 200, Stats());
     } else {
-      co_await Reply(aExchange, path == "/healthz" ? 200 : 404, json::object());
+      co_await SendJson(
+        aExchange, path == "/healthz" ? 200 : 404, json::object());
     }
   }
 
 private:
-  static FakeBatch::Options OptionsOf(const json& aSettings)
+  static FakeBatch::Options ParseOptions(const json& aSettings)
   {
     FakeBatch::Options options;
     options.prefillLinearUs_ =
@@ -135,9 +138,9 @@
       aBody.value("slowdown", batch_.MutableOptions().slowdown_);
   }
 
-  HttpResponse Refusal(const HttpRequest& aRequest,
-                       int aStatus,
-                       const char* aReason) const
+  HttpResponse MakeRefusal(const HttpRequest& aRequest,
+                           int aStatus,
+                           const char* aReason) const
   {
     const json body = { { "error", aReason } };
     HttpResponse response = JsonResponse(aStatus, body.dump());
@@ -152,23 +155,23 @@
 
   asio::awaitable<void> Generate(HttpExchange& aExchange)
   {
-    const json body = BodyOf(aExchange.Request());
-    const std::string prompt = PromptOf(body);
+    const json body = ParseJsonBody(aExchange.Request());
+    const std::string prompt = ExtractPrompt(body);
     if (!crashOn_.empty() && prompt.find(crashOn_) != std::string::npos) {
       std::_Exit(70);
     }
     const std::uint64_t resume = body.value("resume_from", std::uint64_t{ 0 });
     const std::uint64_t limit = body.value("max_tokens", std::uint64_t{ 16 });
     const std::uint64_t tokens = CountTokens(prompt) + resume;
-    const std::uint64_t need = CountTokens(prompt) + limit;
+    const std::uint64_t requiredTokens = CountTokens(prompt) + limit;
     if (leaving_) {
       ++refused_;
-      co_await aExchange.Send(Refusal(aExchange.Request(), 503, "leaving"));
+      co_await aExchange.Send(MakeRefusal(aExchange.Request(), 503, "leaving"));
       co_return;
     }
-    if (!batch_.Fits(need)) {
+    if (!batch_.Fits(requiredTokens)) {
       co_await aExchange.Send(
-        Refusal(aExchange.Request(), 507, "prompt exceeds KV memory"));
+        MakeRefusal(aExchange.Request(), 507, "prompt exceeds KV memory"));
       co_return;
     }
     ++started_;
@@ -176,18 +179,18 @@
       co_await TimerService::SleepFor(std::chrono::milliseconds(20));
     }
     const std::uint64_t imported = ImportedTokens(body);
-    Sequence sequenceToAdd;
-    sequenceToAdd.id_ = body.value("request_id", "");
-    sequenceToAdd.priority_ = body.value("priority", 0);
-    sequenceToAdd.promptTokens_ = tokens;
-    sequenceToAdd.prefillLeft_ = tokens - std::min(imported, tokens - 1);
-    sequenceToAdd.nextToken_ = resume;
-    sequenceToAdd.maxTokens_ = limit;
-    sequenceToAdd.kvTokens_ = need;
-    Sequence* sequence = batch_.Add(std::move(sequenceToAdd));
-    Kick();
-    // Removes the sequence on every way out, a caller's leaving included.
-    const SequenceGuard removal(batch_, sequence);
+    Sequence newSequence;
+    newSequence.id_ = body.value("request_id", "");
+    newSequence.priority_ = body.value("priority", 0);
+    newSequence.promptTokens_ = tokens;
+    newSequence.prefillLeft_ = tokens - std::min(imported, tokens - 1);
+    newSequence.nextToken_ = resume;
+    newSequence.maxTokens_ = limit;
+    newSequence.kvTokens_ = requiredTokens;
+    Sequence* sequence = batch_.Add(std::move(newSequence));
+    EnsureBatchLoop();
+    // Removes the sequence on every exit path, including a client disconnect.
+    const SequenceGuard guard(batch_, sequence);
     co_await Stream(aExchange, *sequence, prompt);
   }
 
@@ -206,20 +209,20 @@
     bool open = false;
     while (next < aSequence.maxTokens_ && !aSequence.cancelled_) {
       co_await TimerService::SleepFor(std::chrono::milliseconds(1));
-      std::string piece;
+      std::string chunk;
       while (next < aSequence.nextToken_) {
         if (cutAfter_ > 0 && sent++ >= cutAfter_) {
-          co_return; // the stream ends without its end marker
+          co_return; // aborts the stream before the [DONE] marker
         }
-        piece += Event(aSequence, aPrompt, next++);
+        chunk += FormatTokenEvent(aSequence, aPrompt, next++);
       }
-      if (!piece.empty() && !open) {
+      if (!chunk.empty() && !open) {
         open = true;
-        Remember(aPrompt);
+        RecordCacheEvent(aPrompt);
         co_await aExchange.StartStream(EventStream());
       }
-      const bool reading = co_await aExchange.Write(piece);
-      if (!reading) {
+      const bool connected = co_await aExchange.Write(chunk);
+      if (!connected) {
         co_return;
       }
     }
@@ -234,9 +237,9 @@
     co_await aExchange.Finish();
   }
 
-  std::string Event(const Sequence& aSequence,
-                    const std::string& aPrompt,
-                    std::uint64_t aIndex) const
+  std::string FormatTokenEvent(const Sequence& aSequence,
+                               const std::string& aPrompt,
+                               std::uint64_t aIndex) const
   {
     const bool last = aIndex + 1 == aSequence.maxTokens_;
     const json event = {
@@ -252,17 +255,18 @@
     return "data: " + event.dump() + "\n\n";
   }
 
-  // Runs the accelerator while there is work.
-  void Kick()
+  // Starts the batch loop unless it is running. It ends when the batch is
+  // empty.
+  void EnsureBatchLoop()
   {
-    if (running_) {
+    if (batchLoopRunning_) {
       return;
     }
-    running_ = true;
-    asio::co_spawn(context_, RunBatch(), asio::detached);
+    batchLoopRunning_ = true;
+    asio::co_spawn(context_, RunBatchLoop(), asio::detached);
   }
 
-  asio::awaitable<void> RunBatch()
+  asio::awaitable<void> RunBatchLoop()
   {
     TimePoint clock = TimerService::Now();
     while (!batch_.Idle()) {
@@ -275,7 +279,7 @@
       }
       batch_.Deliver(step);
     }
-    running_ = false;
+    batchLoopRunning_ = false;
   }
 
   void Cancel(const std::string& aId)
@@ -290,28 +294,28 @@
     return found == batch_.Exports().end() ? 0 : found->second.tokens_;
   }
 
-  json Load()
+  json MakeLoadReport()
   {
     const TimePoint now = TimerService::Now();
-    loads_.push_back({ now,
-                       { { "waiting_tokens", batch_.WaitingTokens() },
-                         { "running", batch_.Running() },
-                         { "waiting", batch_.Waiting() },
-                         { "kv_used", batch_.KvUsed() },
-                         { "kv_total", batch_.KvTotal() } } });
-    while (loads_.size() > 1 && loads_[1].first + loadLag_ <= now) {
-      loads_.pop_front();
+    loadReports_.push_back({ now,
+                             { { "waiting_tokens", batch_.WaitingTokens() },
+                               { "running", batch_.Running() },
+                               { "waiting", batch_.Waiting() },
+                               { "kv_used", batch_.KvUsed() },
+                               { "kv_total", batch_.KvTotal() } } });
+    while (loadReports_.size() > 1 && loadReports_[1].first + loadLag_ <= now) {
+      loadReports_.pop_front();
     }
-    json report = loads_.front().second;
+    json report = loadReports_.front().second;
     report["age_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(
-                         now - loads_.front().first)
+                         now - loadReports_.front().first)
                          .count();
     report["state"] = leaving_ ? "leaving" : "live";
     report["incarnation"] = incarnation_;
     return report;
   }
 
-  void Remember(const std::string& aPrompt)
+  void RecordCacheEvent(const std::string& aPrompt)
   {
     constexpr std::size_t kPrefixBytes = 1024;
     const std::size_t size = std::min(aPrompt.size(), kPrefixBytes);
@@ -343,17 +347,17 @@
   HttpResponse Exports(const HttpRequest& aRequest)
   {
     if (aRequest.method_ == "POST") {
-      const json body = BodyOf(aRequest);
-      const bool held =
-        batch_.Hold(body.value("id", ""),
-                    { .owner_ = body.value("owner", ""),
-                      .tokens_ = body.value("tokens", std::uint64_t{ 0 }),
-                      .prefix_ = body.value("prefix", std::uint64_t{ 0 }) });
+      const json body = ParseJsonBody(aRequest);
+      const bool held = batch_.ReserveExport(
+        body.value("id", ""),
+        { .owner_ = body.value("owner", ""),
+          .tokens_ = body.value("tokens", std::uint64_t{ 0 }),
+          .prefix_ = body.value("prefix", std::uint64_t{ 0 }) });
       return JsonResponse(held ? 201 : 409, "{}");
     }
     if (aRequest.method_ == "DELETE") {
       const std::string path(aRequest.Path());
-      const bool freed = batch_.Free(path.substr(path.rfind('/') + 1));
+      const bool freed = batch_.ReleaseExport(path.substr(path.rfind('/') + 1));
       return JsonResponse(freed ? 200 : 404, "{}");
     }
     json body = { { "exports", json::array() } };
@@ -366,19 +370,20 @@
     return JsonResponse(200, body.dump());
   }
 
-  HttpResponse Orders(const HttpRequest& aRequest)
+  HttpResponse HandleOrders(const HttpRequest& aRequest)
   {
     if (aRequest.method_ == "POST") {
-      const json body = BodyOf(aRequest);
+      const json body = ParseJsonBody(aRequest);
       const std::uint64_t fencing = body.value("fencing", std::uint64_t{ 0 });
-      if (enforced_ && fencing < fencing_) {
+      if (fencingEnforced_ && fencing < fencingToken_) {
         return JsonResponse(409, R"({"error":"old fencing number"})");
       }
-      fencing_ = enforced_ ? fencing : std::max(fencing, fencing_);
+      fencingToken_ =
+        fencingEnforced_ ? fencing : std::max(fencing, fencingToken_);
       desired_ = body.value("desired", json::object());
       orderLog_.push_back(body);
     }
-    const json state = { { "fencing", fencing_ },
+    const json state = { { "fencing", fencingToken_ },
                          { "desired", desired_ },
                          { "log", orderLog_ } };
     return JsonResponse(200, state.dump());
@@ -400,25 +405,25 @@
   FakeBatch batch_;
   std::string name_;
   std::uint64_t incarnation_;
-  bool enforced_;
+  bool fencingEnforced_;
   std::chrono::milliseconds loadLag_;
   std::uint64_t eventGap_;
   std::string crashOn_;
   bool leaving_ = false;
   bool hang_ = false;
   bool crossAnswers_ = false;
-  bool running_ = false;
+  bool batchLoopRunning_ = false;
   std::uint64_t cutAfter_ = 0;
   std::uint64_t started_ = 0;
   std::uint64_t refused_ = 0;
   std::uint64_t finished_ = 0;
   std::uint64_t cancels_ = 0;
-  std::uint64_t fencing_ = 0;
+  std::uint64_t fencingToken_ = 0;
   std::uint64_t eventSequence_ = 0;
   json desired_ = json::object();
   json orderLog_ = json::array();
   std::deque<json> events_;
-  std::deque<std::pair<TimePoint, json>> loads_;
+  std::deque<std::pair<TimePoint, json>> loadReports_;
 };
 
 } // namespace
--- a/fakes/gooseberrylift-fake-hosts.cc
+++ b/fakes/gooseberrylift-fake-hosts.cc
@@ -1,7 +1,8 @@
-// The platform's host list: shows live and leaving endpoints, some time late.
-//   GET  /hosts            the list as it was lag_ms ago
+// A fake of the platform's host list. It returns live and leaving endpoints
+// with a configurable delay.
+//   GET  /hosts            the list as of lag_ms ago
 //   POST /control          {"hosts": [...], "lag_ms": n, "outage": bool}
-// A host: {"name", "address", "pool", "zone", "kind": "engine"|"service",
+// Each host is {"name", "address", "pool", "zone", "kind": "engine"|"service",
 // "state": "live"|"leaving", "incarnation"}.
 
 #include <deque>
@@ -28,23 +29,23 @@
   asio::awaitable<void> Handle(HttpExchange& aExchange)
   {
     if (aExchange.Request().Path() == "/control") {
-      Control(BodyOf(aExchange.Request()));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(aExchange.Request()));
+      co_await SendJson(aExchange, 200, json::object());
       co_return;
     }
     if (outage_) {
-      co_await Reply(aExchange, 503, json::object());
+      co_await SendJson(aExchange, 503, json::object());
       co_return;
     }
     json body;
-    body["hosts"] = Visible();
-    co_await Reply(aExchange, 200, body);
+    body["hosts"] = VisibleHosts();
+    co_await SendJson(aExchange, 200, body);
   }
 
 private:
-  struct Version
+  struct HostListVersion
   {
-    TimePoint at_;
+    TimePoint publishedAt_;
     json hosts_;
   };
 
@@ -58,10 +59,10 @@
     }
   }
 
-  const json& Visible()
+  const json& VisibleHosts()
   {
-    const TimePoint limit = TimerService::Now() - lag_;
-    while (versions_.size() > 1 && versions_[1].at_ <= limit) {
+    const TimePoint cutoff = TimerService::Now() - lag_;
+    while (versions_.size() > 1 && versions_[1].publishedAt_ <= cutoff) {
       versions_.pop_front();
     }
     return versions_.front().hosts_;
@@ -69,7 +70,7 @@
 
   std::chrono::milliseconds lag_;
   bool outage_ = false;
-  std::deque<Version> versions_;
+  std::deque<HostListVersion> versions_;
 };
 
 } // namespace
--- a/fakes/gooseberrylift-fake-proxy-script.cc
+++ b/fakes/gooseberrylift-fake-proxy-script.cc
@@ -26,7 +26,7 @@
   { "to_client", Direction::kToClient }
 };
 
-FaultRule RuleOf(const json& aRule, Fault aFault)
+FaultRule ParseRule(const json& aRule, Fault aFault)
 {
   FaultRule rule{ .fault_ = aFault };
   rule.match_ = aRule.value("match", "");
@@ -56,23 +56,24 @@
     if (fault == kFaults.end()) {
       return false;
     }
-    entries.push_back({ .rule_ = RuleOf(rule, fault->second), .name_ = name });
+    entries.push_back(
+      { .rule_ = ParseRule(rule, fault->second), .name_ = name });
   }
   entries_ = std::move(entries);
   return true;
 }
 
-std::optional<FaultRule> FaultScript::Choose(std::string_view aFirstPiece,
-                                             std::mt19937_64& aRandom)
+std::optional<FaultRule> FaultScript::SelectFault(std::string_view aFirstChunk,
+                                                  std::mt19937_64& aRandom)
 {
   std::uniform_real_distribution<double> draw(0.0, 1.0);
   for (Entry& entry : entries_) {
     const FaultRule& rule = entry.rule_;
-    // Drawn for every rule, so that one rule's count running out changes no
-    // draw of another.
+    // Draws for every rule, so that a rule that has reached its count does not
+    // change the random sequence that the other rules see.
     const bool drawn = draw(aRandom) < rule.probability_;
     if (rule.fault_ == Fault::kRefuse ||
-        aFirstPiece.find(rule.match_) == std::string_view::npos ||
+        aFirstChunk.find(rule.match_) == std::string_view::npos ||
         ++entry.matched_ <= rule.skip_ || entry.applied_ >= rule.count_ ||
         !drawn) {
       continue;
@@ -84,7 +85,7 @@
   return std::nullopt;
 }
 
-bool FaultScript::Refuses() const
+bool FaultScript::RefusesConnections() const
 {
   return std::any_of(entries_.begin(), entries_.end(), [](const Entry& aEntry) {
     return aEntry.rule_.fault_ == Fault::kRefuse;
--- a/fakes/gooseberrylift-fake-proxy-script.h
+++ b/fakes/gooseberrylift-fake-proxy-script.h
@@ -1,5 +1,6 @@
-// The script of the fault-injecting proxy: which fault meets which message of
-// which connection. No I/O; every choice follows from the seed.
+// The fault-injection rules of the proxy. They select the fault for each
+// message of each connection. No I/O; every selection is determined by the
+// seed.
 
 #ifndef GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_PROXY_SCRIPT_H_
 #define GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_PROXY_SCRIPT_H_
@@ -17,18 +18,18 @@
 
 namespace gooseberrylift::fakes {
 
-// What happens to one message, that is a request and all of its answer.
+// A fault that applies to one message: a request and its complete response.
 enum class Fault
 {
-  kDelay,      // each piece waits delay_ms and up to jitter_ms more
-  kCut,        // both sides are reset after after_bytes of a direction
-  kDrop,       // both sides are reset, nothing is passed on
-  kBlackHole,  // pieces of a direction vanish, the connection stays
-  kTruncate,   // the client sees a proper close after after_bytes
-  kRefuse,     // nothing listens while the rule is in force
-  kCross,      // answers of two connections are swapped
-  kStale,      // the connection's last answer comes once more, before this one
-  kLoseAnswer, // the request goes through, then the connection is reset
+  kDelay,      // delays each chunk by delay_ms plus up to jitter_ms
+  kCut,        // resets both sides after after_bytes in one direction
+  kDrop,       // resets both sides without forwarding anything
+  kBlackHole,  // discards data of a direction, stays connected
+  kTruncate,   // closes the client side cleanly after after_bytes
+  kRefuse,     // closes the listener while the rule is loaded
+  kCross,      // swaps the responses of two connections
+  kStale,      // repeats the previous response of the connection first
+  kLoseAnswer, // forwards the request, then resets both sides
 };
 
 enum class Direction
@@ -41,43 +42,44 @@
 struct FaultRule
 {
   Fault fault_ = Fault::kDelay;
-  std::string match_; // a text of the request's first piece; empty for all
+  std::string match_; // substring of the first chunk; empty matches all
   double probability_ = 1.0;
-  std::uint64_t skip_ = 0;           // matching messages left alone first
-  std::uint64_t count_ = UINT64_MAX; // how often at most
+  std::uint64_t skip_ = 0;           // matches to ignore first
+  std::uint64_t count_ = UINT64_MAX; // maximum number of applications
   Direction direction_ = Direction::kToClient;
   std::uint64_t afterBytes_ = 0;
   std::chrono::milliseconds delay_{ 0 };
   std::chrono::milliseconds jitter_{ 0 };
-  std::chrono::milliseconds hold_{ 200 }; // wait for a partner or the answer
+  std::chrono::milliseconds hold_{ 200 }; // for a partner, or before the reset
 
-  bool Concerns(Direction aDirection) const
+  bool AppliesTo(Direction aDirection) const
   {
     return direction_ == Direction::kBoth || direction_ == aDirection;
   }
 };
 
-// Rules in their order; the first that matches a message and whose draw
-// succeeds applies.
+// An ordered list of rules. The first rule that matches a message and whose
+// random draw succeeds applies.
 class FaultScript
 {
 public:
   /// Replaces the rules.
   /// @param aRules an array of {"fault", "match", "probability", "skip",
   /// "count", "direction", "after_bytes", "delay_ms", "jitter_ms", "hold_ms"}
-  /// @return false when a rule names no known fault; the old ones then stay
+  /// @return false if a rule names an unknown fault; the previous rules then
+  /// remain in effect
   bool Load(const nlohmann::json& aRules);
 
-  /// Chooses what happens to a message.
-  /// @param aFirstPiece the request's first bytes
-  /// @param aRandom the connection's generator
-  std::optional<FaultRule> Choose(std::string_view aFirstPiece,
-                                  std::mt19937_64& aRandom);
+  /// Selects the fault for a message, if any.
+  /// @param aFirstChunk the first bytes of the request
+  /// @param aRandom the random number generator of the connection
+  std::optional<FaultRule> SelectFault(std::string_view aFirstChunk,
+                                       std::mt19937_64& aRandom);
 
-  /// Says whether a rule closes the listener.
-  bool Refuses() const;
+  /// Returns whether a rule closes the listener.
+  bool RefusesConnections() const;
 
-  /// Gives how often each fault was applied, by its name.
+  /// Returns the number of applications by fault name.
   const std::map<std::string, std::uint64_t>& Hits() const { return hits_; }
 
 private:
--- a/fakes/gooseberrylift-fake-proxy.cc
+++ b/fakes/gooseberrylift-fake-proxy.cc
@@ -1,9 +1,10 @@
-// A TCP proxy before one target that injects faults by a script. The port that
-// it prints is its control port; the data port stands in /stats.
+// A TCP proxy in front of one target that injects faults according to a list of
+// rules. The port that it prints is the control port; /stats returns the data
+// port.
 //   GET  /stats    {"port", "connections", "open", "messages", "hits"}
-//   POST /control  {"rules": [...]} replaces the script; {"target"};
+//   POST /control  {"rules": [...]} replaces the rules; {"target"};
 //                  {"reset_all": true} resets every open connection
-// Settings: target, seed, rules (see FaultScript::Load).
+// Settings: target, data_port, seed, rules (see FaultScript::Load).
 
 #include <set>
 
@@ -20,11 +21,11 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kPieceBytes = 64 * 1024;
-constexpr std::size_t kLastAnswerBytes = 64 * 1024;
+constexpr auto kAwaitAsTuple = asio::as_tuple(asio::use_awaitable);
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
+constexpr std::size_t kMaxStoredResponseBytes = 64 * 1024;
 
-tcp::endpoint EndpointOf(const std::string& aAddress)
+tcp::endpoint ParseEndpoint(const std::string& aAddress)
 {
   const std::size_t colon = aAddress.rfind(':');
   return { asio::ip::make_address(aAddress.substr(0, colon)),
@@ -32,45 +33,47 @@
              std::atoi(aAddress.c_str() + colon + 1)) };
 }
 
-// Closes so that the other side sees a reset, not a proper end.
-void Reset(tcp::socket& aSocket)
+// Closes a socket with a TCP reset instead of an orderly shutdown.
+void ResetConnection(tcp::socket& aSocket)
 {
   boost::system::error_code ignored;
   aSocket.set_option(asio::socket_base::linger(true, 0), ignored);
   aSocket.close(ignored);
 }
 
-// Shared by all links of one proxy; everything runs on one thread.
+// State shared by all connections of a proxy. Used on one thread only.
 struct ProxyState
 {
   FaultScript script_;
   std::uint64_t seed_ = 1;
-  std::uint64_t connections_ = 0;
-  std::uint64_t messages_ = 0;
-  std::set<class ProxyLink*> links_;
-  std::weak_ptr<class ProxyLink> crossing_; // waits for a partner
+  std::uint64_t connectionCount_ = 0;
+  std::uint64_t messageCount_ = 0;
+  std::set<class ProxyConnection*> openConnections_;
+  std::weak_ptr<class ProxyConnection> waitingForPartner_; // for a kCross fault
 };
 
-// One connection of a client and its own one to the target.
-class ProxyLink : public std::enable_shared_from_this<ProxyLink>
+// A client connection and the connection to the target that belongs to it.
+class ProxyConnection : public std::enable_shared_from_this<ProxyConnection>
 {
 public:
-  ProxyLink(ProxyState& aState, tcp::socket aClient, std::uint64_t aNumber)
+  ProxyConnection(ProxyState& aState,
+                  tcp::socket aClient,
+                  std::uint64_t aNumber)
     : state_(aState)
     , client_(std::move(aClient))
     , target_(client_.get_executor())
     , random_(aState.seed_ * 0x9e3779b97f4a7c15ULL + aNumber)
   {
-    state_.links_.insert(this);
+    state_.openConnections_.insert(this);
   }
 
-  ~ProxyLink() { state_.links_.erase(this); }
-  ProxyLink(const ProxyLink&) = delete;
-  ProxyLink& operator=(const ProxyLink&) = delete;
+  ~ProxyConnection() { state_.openConnections_.erase(this); }
+  ProxyConnection(const ProxyConnection&) = delete;
+  ProxyConnection& operator=(const ProxyConnection&) = delete;
 
   asio::awaitable<void> Run(tcp::endpoint aTarget)
   {
-    const auto [code] = co_await target_.async_connect(aTarget, kAwait);
+    const auto [code] = co_await target_.async_connect(aTarget, kAwaitAsTuple);
     if (code) {
       ResetBoth();
       co_return;
@@ -80,113 +83,115 @@
     target_.set_option(tcp::no_delay(true), ignored);
     asio::co_spawn(
       client_.get_executor(),
-      [self = shared_from_this()] { return self->PumpAnswers(); },
+      [self = shared_from_this()] { return self->RelayResponses(); },
       asio::detached);
-    co_await PumpRequests();
+    co_await RelayRequests();
   }
 
   void ResetBoth()
   {
-    Reset(client_);
-    Reset(target_);
+    ResetConnection(client_);
+    ResetConnection(target_);
   }
 
 private:
-  asio::awaitable<void> PumpRequests()
+  asio::awaitable<void> RelayRequests()
   {
-    std::string buffer(kPieceBytes, '\0');
+    std::string buffer(kReadBufferBytes, '\0');
     bool going = true;
     while (going) {
       const auto [code, size] =
-        co_await client_.async_read_some(asio::buffer(buffer), kAwait);
+        co_await client_.async_read_some(asio::buffer(buffer), kAwaitAsTuple);
       if (code) {
-        EndOf(client_, target_, code);
+        PropagateClose(client_, target_, code);
         co_return;
       }
-      const std::string_view piece(buffer.data(), size);
-      if (answered_) {
-        co_await BeginMessage(piece);
+      const std::string_view chunk(buffer.data(), size);
+      if (responseStarted_) {
+        co_await BeginMessage(chunk);
       }
-      going = co_await Pass(piece, Direction::kToTarget);
+      going = co_await ApplyFault(chunk, Direction::kToTarget);
     }
   }
 
-  asio::awaitable<void> PumpAnswers()
+  asio::awaitable<void> RelayResponses()
   {
-    std::string buffer(kPieceBytes, '\0');
+    std::string buffer(kReadBufferBytes, '\0');
     bool going = true;
     while (going) {
       const auto [code, size] =
-        co_await target_.async_read_some(asio::buffer(buffer), kAwait);
+        co_await target_.async_read_some(asio::buffer(buffer), kAwaitAsTuple);
       if (code) {
-        EndOf(target_, client_, code);
+        PropagateClose(target_, client_, code);
         co_return;
       }
-      answered_ = true;
-      const std::string_view piece(buffer.data(), size);
-      if (answer_.size() + size <= kLastAnswerBytes) {
-        answer_ += piece;
+      responseStarted_ = true;
+      const std::string_view chunk(buffer.data(), size);
+      if (response_.size() + size <= kMaxStoredResponseBytes) {
+        response_ += chunk;
       }
-      going = co_await Pass(piece, Direction::kToClient);
+      going = co_await ApplyFault(chunk, Direction::kToClient);
     }
   }
 
-  // A request that comes after an answer begins a message of its own.
-  asio::awaitable<void> BeginMessage(std::string_view aFirstPiece)
+  // A request chunk that follows response data starts a new message.
+  asio::awaitable<void> BeginMessage(std::string_view aFirstChunk)
   {
-    answered_ = false;
-    passedToTarget_ = 0;
-    passedToClient_ = 0;
+    responseStarted_ = false;
+    bytesToTarget_ = 0;
+    bytesToClient_ = 0;
     partner_.reset();
-    ++state_.messages_;
-    rule_ = state_.script_.Choose(aFirstPiece, random_);
-    const std::string last = std::exchange(answer_, {});
+    ++state_.messageCount_;
+    rule_ = state_.script_.SelectFault(aFirstChunk, random_);
+    const std::string previousResponse = std::exchange(response_, {});
     if (!rule_) {
       co_return;
     }
     if (rule_->fault_ == Fault::kCross) {
       FindPartner();
     }
-    if (rule_->fault_ == Fault::kStale && !last.empty()) {
-      co_await asio::async_write(client_, asio::buffer(last), kAwait);
+    if (rule_->fault_ == Fault::kStale && !previousResponse.empty()) {
+      co_await asio::async_write(
+        client_, asio::buffer(previousResponse), kAwaitAsTuple);
     }
   }
 
   void FindPartner()
   {
-    const auto waiting = state_.crossing_.lock();
+    const auto waiting = state_.waitingForPartner_.lock();
     if (!waiting || waiting.get() == this) {
-      state_.crossing_ = weak_from_this();
+      state_.waitingForPartner_ = weak_from_this();
       return;
     }
-    state_.crossing_.reset();
+    state_.waitingForPartner_.reset();
     partner_ = waiting;
     waiting->partner_ = weak_from_this();
   }
 
-  // Passes a piece on as the message's rule says. False ends the pump.
-  asio::awaitable<bool> Pass(std::string_view aPiece, Direction aDirection)
+  // Applies the rule of the message to a chunk. Returns false to stop relaying.
+  asio::awaitable<bool> ApplyFault(std::string_view aChunk,
+                                   Direction aDirection)
   {
-    const bool concerned = rule_ && rule_->Concerns(aDirection);
+    const bool affected = rule_ && rule_->AppliesTo(aDirection);
     if (!rule_) {
-      co_return co_await Write(aPiece, aDirection);
+      co_return co_await Write(aChunk, aDirection);
     }
     switch (rule_->fault_) {
       case Fault::kDelay:
-        co_await TimerService::SleepFor(Pause());
+        co_await TimerService::SleepFor(RandomDelay());
         break;
       case Fault::kDrop:
         ResetBoth();
         co_return false;
       case Fault::kBlackHole:
-        if (concerned) {
+        if (affected) {
           co_return true;
         }
         break;
       case Fault::kCut:
       case Fault::kTruncate:
-        if (concerned) {
-          co_return co_await PassUpTo(aPiece, aDirection);
+        if (affected) {
+          co_return co_await WriteUpToLimit(aChunk, aDirection);
         }
         break;
       case Fault::kLoseAnswer:
@@ -198,74 +203,75 @@
         break;
       case Fault::kCross:
         if (aDirection == Direction::kToClient) {
-          co_return co_await WriteCrossed(aPiece);
+          co_return co_await WriteToPartner(aChunk);
         }
         break;
       default:
         break;
     }
-    co_return co_await Write(aPiece, aDirection);
+    co_return co_await Write(aChunk, aDirection);
   }
 
-  std::chrono::milliseconds Pause()
+  std::chrono::milliseconds RandomDelay()
   {
     std::uniform_int_distribution<std::int64_t> extra(0,
                                                       rule_->jitter_.count());
     return rule_->delay_ + std::chrono::milliseconds(extra(random_));
   }
 
-  asio::awaitable<bool> PassUpTo(std::string_view aPiece, Direction aDirection)
+  asio::awaitable<bool> WriteUpToLimit(std::string_view aChunk,
+                                       Direction aDirection)
   {
-    std::uint64_t& passed =
-      aDirection == Direction::kToTarget ? passedToTarget_ : passedToClient_;
-    const std::uint64_t left =
-      rule_->afterBytes_ - std::min(passed, rule_->afterBytes_);
-    passed += aPiece.size();
-    if (aPiece.size() < left) {
-      co_return co_await Write(aPiece, aDirection);
+    std::uint64_t& forwarded =
+      aDirection == Direction::kToTarget ? bytesToTarget_ : bytesToClient_;
+    const std::uint64_t remaining =
+      rule_->afterBytes_ - std::min(forwarded, rule_->afterBytes_);
+    forwarded += aChunk.size();
+    if (aChunk.size() < remaining) {
+      co_return co_await Write(aChunk, aDirection);
     }
-    co_await Write(aPiece.substr(0, left), aDirection);
+    co_await Write(aChunk.substr(0, remaining), aDirection);
     if (rule_->fault_ == Fault::kTruncate) {
       boost::system::error_code ignored;
       client_.shutdown(tcp::socket::shutdown_send, ignored);
-      Reset(target_);
+      ResetConnection(target_);
     } else {
       ResetBoth();
     }
     co_return false;
   }
 
-  asio::awaitable<bool> WriteCrossed(std::string_view aPiece)
+  asio::awaitable<bool> WriteToPartner(std::string_view aChunk)
   {
-    constexpr std::chrono::milliseconds kPoll{ 2 };
+    constexpr std::chrono::milliseconds kPollInterval{ 2 };
     const TimePoint end = TimerService::Now() + rule_->hold_;
     while (partner_.expired() && TimerService::Now() < end) {
-      co_await TimerService::SleepFor(kPoll);
+      co_await TimerService::SleepFor(kPollInterval);
     }
-    const std::shared_ptr<ProxyLink> partner = partner_.lock();
+    const std::shared_ptr<ProxyConnection> partner = partner_.lock();
     if (!partner) {
-      co_return co_await Write(aPiece, Direction::kToClient);
+      co_return co_await Write(aChunk, Direction::kToClient);
     }
     const auto [code, size] = co_await asio::async_write(
-      partner->client_, asio::buffer(aPiece), kAwait);
+      partner->client_, asio::buffer(aChunk), kAwaitAsTuple);
     co_return !code;
   }
 
-  asio::awaitable<bool> Write(std::string_view aPiece, Direction aDirection)
+  asio::awaitable<bool> Write(std::string_view aChunk, Direction aDirection)
   {
     tcp::socket& to = aDirection == Direction::kToTarget ? target_ : client_;
     const auto [code, size] =
-      co_await asio::async_write(to, asio::buffer(aPiece), kAwait);
+      co_await asio::async_write(to, asio::buffer(aChunk), kAwaitAsTuple);
     if (code) {
       ResetBoth();
     }
     co_return !code;
   }
 
-  // Hands a side's end on: a proper one as such, a reset as a reset.
-  void EndOf(tcp::socket& aFrom,
-             tcp::socket& aTo,
-             const boost::system::error_code& aCode)
+  // Forwards an orderly shutdown as a half-close and any error as a reset.
+  void PropagateClose(tcp::socket& aFrom,
+                      tcp::socket& aTo,
+                      const boost::system::error_code& aCode)
   {
     if (aCode != asio::error::eof) {
       ResetBoth();
@@ -281,11 +287,11 @@
   tcp::socket target_;
   std::mt19937_64 random_;
   std::optional<FaultRule> rule_;
-  std::weak_ptr<ProxyLink> partner_;
-  std::string answer_; // of the message so far
-  std::uint64_t passedToTarget_ = 0;
-  std::uint64_t passedToClient_ = 0;
-  bool answered_ = true;
+  std::weak_ptr<ProxyConnection> partner_;
+  std::string response_; // response data of the current message
+  std::uint64_t bytesToTarget_ = 0;
+  std::uint64_t bytesToClient_ = 0;
+  bool responseStarted_ = true;
 };
 
 class FakeProxy
@@ -294,21 +300,21 @@
   FakeProxy(asio::io_context& aContext, const json& aSettings)
     : context_(aContext)
     , acceptor_(aContext)
-    , target_(EndpointOf(aSettings.value("target", "")))
+    , target_(ParseEndpoint(aSettings.value("target", "")))
   {
     state_.seed_ = aSettings.value("seed", std::uint64_t{ 1 });
     state_.script_.Load(aSettings.value("rules", json::array()));
     Listen(aSettings.value("data_port", std::uint16_t{ 0 }));
-    FollowRefusal();
+    UpdateListener();
   }
 
   asio::awaitable<void> Handle(HttpExchange& aExchange)
   {
     bool known = true;
     if (aExchange.Request().Path() == "/control") {
-      known = Control(BodyOf(aExchange.Request()));
+      known = Control(ParseJsonBody(aExchange.Request()));
     }
-    co_await Reply(aExchange, known ? 200 : 400, Stats());
+    co_await SendJson(aExchange, known ? 200 : 400, Stats());
   }
 
 private:
@@ -318,23 +324,23 @@
       return false;
     }
     if (aBody.contains("target")) {
-      target_ = EndpointOf(aBody.value("target", ""));
+      target_ = ParseEndpoint(aBody.value("target", ""));
     }
     if (aBody.value("reset_all", false)) {
-      for (ProxyLink* link : state_.links_) {
-        link->ResetBoth();
+      for (ProxyConnection* connection : state_.openConnections_) {
+        connection->ResetBoth();
       }
     }
-    FollowRefusal();
+    UpdateListener();
     return true;
   }
 
   json Stats() const
   {
     return { { "port", port_ },
-             { "connections", state_.connections_ },
-             { "open", state_.links_.size() },
-             { "messages", state_.messages_ },
+             { "connections", state_.connectionCount_ },
+             { "open", state_.openConnections_.size() },
+             { "messages", state_.messageCount_ },
              { "hits", state_.script_.Hits() } };
   }
 
@@ -349,10 +355,10 @@
     asio::co_spawn(context_, Accept(), asio::detached);
   }
 
-  // A closed listener is the only way to make the system refuse for us.
-  void FollowRefusal()
+  // The kernel refuses connections only while no socket listens on the port.
+  void UpdateListener()
   {
-    const bool refuses = state_.script_.Refuses();
+    const bool refuses = state_.script_.RefusesConnections();
     if (refuses && acceptor_.is_open()) {
       acceptor_.close();
     } else if (!refuses && !acceptor_.is_open()) {
@@ -363,16 +369,16 @@
   asio::awaitable<void> Accept()
   {
     while (true) {
-      auto [code, socket] = co_await acceptor_.async_accept(kAwait);
+      auto [code, socket] = co_await acceptor_.async_accept(kAwaitAsTuple);
       if (code) {
         co_return;
       }
-      auto link = std::make_shared<ProxyLink>(
-        state_, std::move(socket), ++state_.connections_);
+      auto connection = std::make_shared<ProxyConnection>(
+        state_, std::move(socket), ++state_.connectionCount_);
       asio::co_spawn(
         context_,
-        [link, target = target_]() -> asio::awaitable<void> {
-          co_await link->Run(target);
+        [connection, target = target_]() -> asio::awaitable<void> {
+          co_await connection->Run(target);
         },
         asio::detached);
     }
--- a/fakes/gooseberrylift-fake-service.cc
+++ b/fakes/gooseberrylift-fake-service.cc
@@ -1,11 +1,12 @@
-// A plain service that counts each run of each request, so that a test can say
-// whether a call ran twice or not at all.
-//   any  /...       runs: {"service", "path", "body", "runs", "tag"}
+// A fake HTTP service that counts the executions of each request, so that a
+// test can detect a call that was executed twice or not at all.
+//   any  /...       executes the request and returns
+//                   {"service", "method", "path", "body", "tag", "runs"}
 //   GET  /load      {"state": "live"|"leaving"}
 //   GET  /stats     {"runs": {key: count}, "total": n, "refused": n,
 //                    "bodies": {key: body}, "requests": {X-Request-Id: count}}
 //   POST /control   {"delay_ms", "leaving", "hang", "status"}
-// The key is the header Idempotency-Key, else X-Request-Id.
+// The key is the Idempotency-Key header or, if it is absent, X-Request-Id.
 
 #include <map>
 
@@ -31,16 +32,16 @@
   {
     const std::string path(aExchange.Request().Path());
     if (path == "/control") {
-      Control(BodyOf(aExchange.Request()));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(aExchange.Request()));
+      co_await SendJson(aExchange, 200, json::object());
     } else if (path == "/stats") {
-      co_await Reply(aExchange, 200, Stats());
+      co_await SendJson(aExchange, 200, Stats());
     } else if (path == "/load") {
       json load;
       load["state"] = leaving_ ? "leaving" : "live";
-      co_await Reply(aExchange, 200, load);
+      co_await SendJson(aExchange, 200, load);
     } else if (leaving_) {
-      // Refused before it ran, and says so.
+      // Rejects the request and reports that it was not executed.
       ++refused_;
       HttpResponse refusal{ .status_ = 503 };
       refusal.fields_.push_back({ "X-Endpoint-State", "leaving" });
@@ -73,7 +74,7 @@
     status_ = aBody.value("status", status_);
   }
 
-  HttpResponse AnswerOf(const HttpRequest& aRequest, int aRuns) const
+  HttpResponse MakeResponse(const HttpRequest& aRequest, int aRuns) const
   {
     const json answer = { { "service", name_ },
                           { "method", aRequest.method_ },
@@ -89,7 +90,7 @@
 
   asio::awaitable<void> Run(HttpExchange& aExchange)
   {
-    // A service does what it was asked even when the caller leaves.
+    // The service completes a request even if the client disconnects.
     aExchange.KeepRunningWithoutCaller();
     const HttpRequest& request = aExchange.Request();
     std::string key(request.Field("Idempotency-Key"));
@@ -106,7 +107,7 @@
     if (delay_.count() > 0) {
       co_await TimerService::SleepFor(delay_);
     }
-    co_await aExchange.Send(AnswerOf(request, runs));
+    co_await aExchange.Send(MakeResponse(request, runs));
   }
 
   std::string name_;
--- a/fakes/gooseberrylift-fake-store.cc
+++ b/fakes/gooseberrylift-fake-store.cc
@@ -1,16 +1,18 @@
-// The platform's object API, in the style of the Kubernetes API.
+// A fake of the platform's object API, modeled on the Kubernetes API.
 //   GET    /apis/gooseberrylift.dev/v1/KIND               list
 //   GET    /apis/gooseberrylift.dev/v1/KIND?watch=true&resourceVersion=N
 //   GET    /apis/gooseberrylift.dev/v1/KIND/NAME          read
-//   POST   /apis/gooseberrylift.dev/v1/KIND               create if absent
+//   POST   /apis/gooseberrylift.dev/v1/KIND               creates if absent
 //   PUT    /apis/gooseberrylift.dev/v1/KIND/NAME          conditional update
 //   DELETE /apis/gooseberrylift.dev/v1/KIND/NAME          (?resourceVersion=N)
 //   POST   /control  {"outage", "delay_ms", "lose_answers": n, "hang",
 //                     "writes_per_second", "reads_per_second",
 //                     "mute_watches", "forget_history", "replace":
 //                     {"KIND/NAME": object}}
-//   GET    /stats    counts by kind of call
-// A lost answer: the write takes effect and the connection then closes.
+//   GET    /stats    number of calls by type
+// lose_answers: the next n writes are committed, but the connection is closed
+// without a complete response.
+// mute_watches: watches stay open but deliver no events.
 
 #include <deque>
 #include <map>
@@ -24,12 +26,12 @@
 
 namespace {
 
-constexpr std::string_view kRoot = "/apis/gooseberrylift.dev/v1/";
-constexpr std::size_t kHistory = 1000;
+constexpr std::string_view kApiPath = "/apis/gooseberrylift.dev/v1/";
+constexpr std::size_t kMaxHistoryEvents = 1000;
 constexpr std::size_t kMaxObjectBytes = 1024 * 1024;
 
-// Lets so many calls through each second.
-class RateGate
+// Limits calls to a rate per second.
+class TokenBucket
 {
 public:
   bool Allow(double aPerSecond)
@@ -70,12 +72,12 @@
   {
     const std::string path(aExchange.Request().Path());
     if (path == "/control") {
-      Control(BodyOf(aExchange.Request()));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(aExchange.Request()));
+      co_await SendJson(aExchange, 200, json::object());
       co_return;
     }
     if (path == "/stats") {
-      co_await Reply(aExchange, 200, json(counts_));
+      co_await SendJson(aExchange, 200, json(counts_));
       co_return;
     }
     while (hang_) {
@@ -87,31 +89,31 @@
     const HttpRequest& request = aExchange.Request();
     if (!outage_ && !request.Query("watch").empty()) {
       ++counts_["watch"];
-      co_await Watch(aExchange, path.substr(kRoot.size()));
+      co_await Watch(aExchange, path.substr(kApiPath.size()));
       co_return;
     }
-    Answer answer = Failure(503, "ServiceUnavailable");
+    StoreResponse response = Failure(503, "ServiceUnavailable");
     if (!outage_) {
-      answer = path.starts_with(kRoot)
-                 ? Route(request, path.substr(kRoot.size()))
-                 : Failure(404, "NotFound");
+      response = path.starts_with(kApiPath)
+                   ? Route(request, path.substr(kApiPath.size()))
+                   : Failure(404, "NotFound");
     }
-    if (answer.wrote_ && loseAnswers_ > 0) {
-      // The write has taken effect, but nobody is told.
+    if (response.committed_ && loseAnswers_ > 0) {
+      // The write is committed, but the client receives no complete response.
       --loseAnswers_;
       ++counts_["lost_answer"];
       co_await aExchange.StartStream(TextResponse(200, ""));
-      co_return; // never finished, so the connection is cut
+      co_return; // an unfinished stream closes the connection
     }
-    co_await Reply(aExchange, answer.status_, answer.body_);
+    co_await SendJson(aExchange, response.status_, response.body_);
   }
 
 private:
-  struct Answer
+  struct StoreResponse
   {
     int status_;
     json body_;
-    bool wrote_ = false;
+    bool committed_ = false;
   };
 
   struct Event
@@ -131,10 +133,10 @@
     writesPerSecond_ = aBody.value("writes_per_second", writesPerSecond_);
     readsPerSecond_ = aBody.value("reads_per_second", readsPerSecond_);
     muteWatches_ = aBody.value("mute_watches", muteWatches_);
-    cutWatches_ += aBody.value("cut_watches", false) ? 1 : 0;
+    watchCutCount_ += aBody.value("cut_watches", false) ? 1 : 0;
     if (aBody.value("forget_history", false)) {
       history_.clear();
-      ++cutWatches_;
+      ++watchCutCount_;
     }
     const json replaced = aBody.value("replace", json::object());
     for (const auto& [path, object] : replaced.items()) {
@@ -143,31 +145,31 @@
     }
   }
 
-  // Answers everything but a watch.
-  Answer Route(const HttpRequest& aRequest, const std::string& aPath)
+  // Handles all requests except watches.
+  StoreResponse Route(const HttpRequest& aRequest, const std::string& aPath)
   {
     const std::size_t slash = aPath.find('/');
     const std::string kind = aPath.substr(0, slash);
-    const bool whole = slash == std::string::npos;
-    const std::string name = whole ? "" : aPath.substr(slash + 1);
-    const bool reads = aRequest.method_ == "GET";
-    ++counts_[!reads ? "write" : whole ? "list" : "read"];
-    if (!reads) {
+    const bool isCollection = slash == std::string::npos;
+    const std::string name = isCollection ? "" : aPath.substr(slash + 1);
+    const bool isRead = aRequest.method_ == "GET";
+    ++counts_[!isRead ? "write" : isCollection ? "list" : "read"];
+    if (!isRead) {
       ++counts_["write_" + kind];
     }
-    const bool allowed =
-      reads ? reads_.Allow(readsPerSecond_) : writes_.Allow(writesPerSecond_);
+    const bool allowed = isRead ? readLimiter_.Allow(readsPerSecond_)
+                                : writeLimiter_.Allow(writesPerSecond_);
     if (!allowed) {
       ++counts_["throttled"];
       return Failure(429, "TooManyRequests");
     }
-    if (!reads) {
+    if (!isRead) {
       return Write(aRequest, kind, name);
     }
-    return whole ? List(kind) : Read(kind, name);
+    return isCollection ? List(kind) : Read(kind, name);
   }
 
-  Answer List(const std::string& aKind)
+  StoreResponse List(const std::string& aKind)
   {
     json body = json::object();
     body["metadata"]["resourceVersion"] = std::to_string(version_);
@@ -178,16 +180,16 @@
     return { 200, body };
   }
 
-  Answer Read(const std::string& aKind, const std::string& aName)
+  StoreResponse Read(const std::string& aKind, const std::string& aName)
   {
     const auto found = objects_[aKind].find(aName);
     return found == objects_[aKind].end() ? Failure(404, "NotFound")
-                                          : Answer{ 200, found->second };
+                                          : StoreResponse{ 200, found->second };
   }
 
-  Answer Write(const HttpRequest& aRequest,
-               const std::string& aKind,
-               std::string aName)
+  StoreResponse Write(const HttpRequest& aRequest,
+                      const std::string& aKind,
+                      std::string aName)
   {
     json body = json::parse(aRequest.body_, nullptr, false);
     if (!body.is_object()) {
@@ -220,7 +222,7 @@
     if (aRequest.method_ == "DELETE") {
       const json old = found->second;
       objects_[aKind].erase(found);
-      Record(aKind, "DELETED", old);
+      RecordEvent(aKind, "DELETED", old);
       return { 200, old, true };
     }
     const json& stored =
@@ -238,18 +240,20 @@
     aObject["metadata"]["resourceVersion"] = std::to_string(version_ + 1);
     json& stored = objects_[aKind][aName];
     stored = std::move(aObject);
-    Record(aKind, aEvent, stored);
+    RecordEvent(aKind, aEvent, stored);
     return stored;
   }
 
-  void Record(const std::string& aKind, const char* aType, const json& aObject)
+  void RecordEvent(const std::string& aKind,
+                   const char* aType,
+                   const json& aObject)
   {
     ++version_;
     json object = aObject;
     object["metadata"]["resourceVersion"] = std::to_string(version_);
     history_.push_back(
       { version_, aKind, { { "type", aType }, { "object", object } } });
-    if (history_.size() > kHistory) {
+    if (history_.size() > kMaxHistoryEvents) {
       history_.pop_front();
     }
   }
@@ -257,29 +261,30 @@
   asio::awaitable<void> Watch(HttpExchange& aExchange, std::string aKind)
   {
     const HttpRequest& request = aExchange.Request();
-    std::uint64_t seen = std::strtoull(
+    std::uint64_t lastSentVersion = std::strtoull(
       std::string(request.Query("resourceVersion")).c_str(), nullptr, 10);
     const std::uint64_t oldest =
       history_.empty() ? version_ : history_.front().version_ - 1;
-    if (seen < oldest) {
-      const Answer expired = Failure(410, "Expired");
-      co_await Reply(aExchange, expired.status_, expired.body_);
+    if (lastSentVersion < oldest) {
+      const StoreResponse expired = Failure(410, "Expired");
+      co_await SendJson(aExchange, expired.status_, expired.body_);
       co_return;
     }
-    const int cuts = cutWatches_;
+    const int initialCutCount = watchCutCount_;
     const std::string limit(request.Query("timeoutSeconds"));
     const TimePoint end =
       TimerService::Now() +
       std::chrono::seconds(limit.empty() ? 300 : std::atoi(limit.c_str()));
     co_await aExchange.StartStream(JsonResponse(200, ""));
     while (TimerService::Now() < end) {
-      if ((outage_ && !muteWatches_) || hang_ || cuts != cutWatches_) {
+      if ((outage_ && !muteWatches_) || hang_ ||
+          initialCutCount != watchCutCount_) {
         co_return;
       }
       std::string lines;
       for (const Event& event : history_) {
-        if (event.version_ > seen && !muteWatches_) {
-          seen = event.version_;
+        if (event.version_ > lastSentVersion && !muteWatches_) {
+          lastSentVersion = event.version_;
           lines += event.kind_ == aKind ? event.body_.dump() + "\n" : "";
         }
       }
@@ -292,7 +297,7 @@
     co_await aExchange.Finish();
   }
 
-  static Answer Failure(int aStatus, const char* aReason)
+  static StoreResponse Failure(int aStatus, const char* aReason)
   {
     return { aStatus,
              { { "kind", "Status" },
@@ -304,13 +309,13 @@
   bool outage_ = false;
   bool hang_ = false;
   int loseAnswers_ = 0;
-  int cutWatches_ = 0;
-  bool muteWatches_ = false; // open, but silent
+  int watchCutCount_ = 0;
+  bool muteWatches_ = false; // keep watches open without events
   double writesPerSecond_ = 400;
   double readsPerSecond_ = 2000;
   std::chrono::milliseconds delay_{ 2 };
-  RateGate writes_;
-  RateGate reads_;
+  TokenBucket writeLimiter_;
+  TokenBucket readLimiter_;
   std::uint64_t version_ = 1;
   std::map<std::string, std::map<std::string, json>> objects_;
   std::deque<Event> history_;
--- a/fakes/gooseberrylift-fake-tokens.h
+++ b/fakes/gooseberrylift-fake-tokens.h
@@ -1,5 +1,5 @@
-// The text that every fake engine makes of a prompt, so that a test can tell
-// whether an answer is whole and its caller's own.
+// The deterministic response of the fake engine to a prompt. A test compares a
+// response with it to detect truncated, duplicated or misrouted output.
 
 #ifndef GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_TOKENS_H_
 #define GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_TOKENS_H_
@@ -19,7 +19,7 @@
   return (aPrompt.size() + kBytesPerToken - 1) / kBytesPerToken;
 }
 
-/// Gives the token at an index of the answer to a prompt.
+/// Returns the token at an index of the response to a prompt.
 inline std::string ReferenceToken(std::string_view aPrompt,
                                   std::uint64_t aIndex)
 {
@@ -28,7 +28,7 @@
          std::to_string((hash ^ (aIndex * 0x9e3779b97f4a7c15ULL)) % 9973) + " ";
 }
 
-/// Gives the whole answer to a prompt.
+/// Returns the complete response to a prompt.
 inline std::string ReferenceAnswer(std::string_view aPrompt,
                                    std::uint64_t aTokens)
 {
--- a/fakes/gooseberrylift-fake.cc
+++ b/fakes/gooseberrylift-fake.cc
@@ -29,14 +29,14 @@
   return 0;
 }
 
-asio::awaitable<bool> Reply(HttpExchange& aExchange,
-                            int aStatus,
-                            const json& aBody)
+asio::awaitable<bool> SendJson(HttpExchange& aExchange,
+                               int aStatus,
+                               const json& aBody)
 {
   co_return co_await aExchange.Send(JsonResponse(aStatus, aBody.dump()));
 }
 
-json BodyOf(const HttpRequest& aRequest)
+json ParseJsonBody(const HttpRequest& aRequest)
 {
   json body = json::parse(aRequest.body_, nullptr, false);
   return body.is_discarded() ? json::object() : body;
--- a/fakes/gooseberrylift-fake.h
+++ b/fakes/gooseberrylift-fake.h
@@ -1,5 +1,6 @@
-// What the fakes of the outside systems share. Each fake is one process that
-// takes its settings as JSON, listens on loopback and prints its port.
+// Common code of the fake servers that stand in for external systems in tests.
+// Each fake is one process that takes its settings as JSON, listens on the
+// loopback interface and prints its port.
 
 #ifndef GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_H_
 #define GOOSEBERRYLIFT_FAKES_GOOSEBERRYLIFT_FAKE_H_
@@ -16,24 +17,25 @@
 
 using nlohmann::json;
 
-/// Runs one fake until SIGTERM or SIGINT.
-/// @param aSettings "address" and "port" (0 picks one) besides the fake's own
-/// @param aHandler answers each request, one at a time on a single thread
-/// @param aContext where the fake's own timers run too
+/// Runs the HTTP server of a fake until SIGTERM or SIGINT.
+/// @param aContext runs the server and the timers of the fake
+/// @param aSettings "address" and "port" (0 selects a free port), in addition
+/// to the settings of the fake itself
+/// @param aHandler handles each request; all requests run on one thread
 /// @return the exit status
 int RunFake(boost::asio::io_context& aContext,
             const json& aSettings,
             HttpHandler aHandler);
 
-/// Answers with a JSON document.
-boost::asio::awaitable<bool> Reply(HttpExchange& aExchange,
-                                   int aStatus,
-                                   const json& aBody);
+/// Sends a JSON response.
+boost::asio::awaitable<bool> SendJson(HttpExchange& aExchange,
+                                      int aStatus,
+                                      const json& aBody);
 
-/// Reads a request's body as JSON; an empty object when it is none.
-json BodyOf(const HttpRequest& aRequest);
+/// Parses a request body as JSON. Returns an empty object if it is invalid.
+json ParseJsonBody(const HttpRequest& aRequest);
 
-// One per kind of fake; each takes its settings and returns the exit status.
+// Entry points of the fakes. Each returns the exit status of the process.
 int RunFakeEngine(const json& aSettings);
 int RunFakeService(const json& aSettings);
 int RunFakeStore(const json& aSettings);
--- a/fakes/main.cc
+++ b/fakes/main.cc
@@ -1,4 +1,4 @@
-// Starts one fake: gooseberrylift-fakes KIND --settings FILE-OR-JSON
+// Runs one fake server: gooseberrylift-fakes KIND --settings FILE-OR-JSON
 
 #include <fstream>
 #include <functional>
@@ -36,7 +36,7 @@
     { "fleet-store", fakes::RunFakeFleetStore },
     { "fleet-engine", fakes::RunFakeFleetEngine },
   };
-  CLI::App app("Small fakes of the systems around gooseberrylift");
+  CLI::App app("Test doubles for the systems that gooseberrylift talks to");
   std::string kind;
   std::string settings = "{}";
   app
@@ -45,11 +45,12 @@
                 "engine, service, store, hosts, proxy, fleet-store or "
                 "fleet-engine")
     ->required();
-  app.add_option("--settings", settings, "a JSON file, or JSON itself");
+  app.add_option(
+    "--settings", settings, "path of a JSON file, or a JSON object");
   CLI11_PARSE(app, aCount, aArguments);
   const auto found = kinds.find(kind);
   if (found == kinds.end()) {
-    std::cerr << "no fake of this kind: " << kind << std::endl;
+    std::cerr << "no such kind of fake: " << kind << std::endl;
     return 2;
   }
   return found->second(ReadSettings(settings));
--- a/fakes/platform/gooseberrylift-fake-fleet-engine.cc
+++ b/fakes/platform/gooseberrylift-fake-fleet-engine.cc
@@ -1,13 +1,13 @@
-// An endpoint of the fleet platform: an engine for requests with a prompt, a
-// plain service for all others. Settings: "id", "events", "event_ms",
-// "kv_total", "work_ms".
+// A fake endpoint of the fleet platform. It streams events for requests with a
+// token usage header, like an engine, and sends a single response to all
+// others. Settings: "id", "events", "event_ms", "kv_total", "work_ms".
 //   POST /control  {"fault": F, "times": n, "after_events": k, "id": new}
-//     F: "cut" (after k events, in the middle of the next), "drop" (no answer),
-//     "full" (503, not run), "helper" (the same, for the first helper's fault),
-//     "crossed" (another request's answer), "status" (500), "unsigned", "hang",
-//     "gap" (leaves an event out), "crash" (ends the process)
-//   POST /control  {"limit": "1.5"}  names that rate limit; "" ends it
-//   GET  /stats    what arrived and when, what ran, the tickets
+//     F: "cut" (after k events, within the next event), "drop" (no response),
+//     "full" (503, not executed), "helper" (same, attributed to first helper),
+//     "crossed" (response of another request), "status" (500), "unsigned",
+//     "hang", "gap" (omits an event), "crash" (terminates the process)
+//   POST /control  {"limit": "1.5"}  announces a rate limit; "" removes it
+//   GET  /stats    arrivals, executions, helpers, orders and tickets
 
 #include <cstdlib>
 #include <map>
@@ -31,9 +31,9 @@
   explicit FakeFleetEngine(const json& aSettings)
     : id_(aSettings.value("id", "engine"))
     , events_(aSettings.value("events", 5))
-    , eventTime_(aSettings.value("event_ms", 5))
-    , workTime_(aSettings.value("work_ms", 1))
-    , total_(aSettings.value("kv_total", std::uint64_t{ 450'000 }))
+    , eventInterval_(aSettings.value("event_ms", 5))
+    , serviceTime_(aSettings.value("work_ms", 1))
+    , kvTotal_(aSettings.value("kv_total", std::uint64_t{ 450'000 }))
   {
   }
 
@@ -41,10 +41,10 @@
   {
     const std::string path(aExchange.Request().Path());
     if (path == "/control") {
-      Control(BodyOf(aExchange.Request()));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(aExchange.Request()));
+      co_await SendJson(aExchange, 200, json::object());
     } else if (path == "/stats") {
-      co_await Reply(aExchange, 200, Stats());
+      co_await SendJson(aExchange, 200, Stats());
     } else if (path == names::kOrderPath) {
       co_await HandleOrder(aExchange);
     } else {
@@ -55,9 +55,9 @@
 private:
   void Control(const json& aBody)
   {
-    limit_ = aBody.value("limit", limit_);
+    rateLimit_ = aBody.value("limit", rateLimit_);
     fault_ = aBody.value("fault", "");
-    times_ = aBody.value("times", 1);
+    faultsRemaining_ = aBody.value("times", 1);
     afterEvents_ = aBody.value("after_events", 2);
     id_ = aBody.value("id", id_);
   }
@@ -67,40 +67,41 @@
     return { { "arrived", arrived_ },
              { "ran", ran_ },
              { "fields", fields_ },
-             { "last_us", last_.time_since_epoch().count() / 1000 },
-             { "times_ms", timesMs_ },
+             { "last_us", lastArrival_.time_since_epoch().count() / 1000 },
+             { "times_ms", arrivalTimesMs_ },
              { "helpers", helpers_ },
              { "orders", orders_ },
              { "tickets", tickets_ } };
   }
 
-  // Takes the fault, if one is set, and counts it down.
-  std::string TakeFault()
+  // Returns the configured fault, if any, and decrements its remaining count.
+  std::string ConsumeFault()
   {
-    if (fault_.empty() || times_ <= 0) {
+    if (fault_.empty() || faultsRemaining_ <= 0) {
       return {};
     }
-    --times_;
+    --faultsRemaining_;
     return fault_;
   }
 
-  HttpResponse Head(int aStatus, const HttpRequest& aRequest) const
+  HttpResponse MakeResponseHead(int aStatus, const HttpRequest& aRequest) const
   {
     HttpResponse head{ .status_ = aStatus };
     head.fields_ = { { names::kAttemptId,
                        std::string(aRequest.Field(names::kAttemptId)) },
                      { names::kResponseStamp, "stamp-" + id_ } };
-    if (!limit_.empty()) {
+    if (!rateLimit_.empty()) {
       head.fields_.insert(head.fields_.begin() + 1,
-                          { names::kServerLimit, limit_ });
+                          { names::kServerLimit, rateLimit_ });
     }
     return head;
   }
 
-  HttpResponse NotRun(int aStatus, const HttpRequest& aRequest) const
+  HttpResponse MakeNotExecutedResponse(int aStatus,
+                                       const HttpRequest& aRequest) const
   {
-    HttpResponse refusal = Head(aStatus, aRequest);
-    refusal.fields_.pop_back(); // no signature
+    HttpResponse refusal = MakeResponseHead(aStatus, aRequest);
+    refusal.fields_.pop_back(); // drops the response stamp
     refusal.fields_.push_back({ names::kNotExecuted, "1" });
     refusal.fields_.push_back({ names::kInstanceId, id_ });
     return refusal;
@@ -108,38 +109,38 @@
 
   asio::awaitable<void> HandleOrder(HttpExchange& aExchange)
   {
-    const json order = BodyOf(aExchange.Request());
+    const json order = ParseJsonBody(aExchange.Request());
     const std::string id = order.value("id", "");
     const std::string op = order.value("op", "");
     ++orders_[op];
     if (op == names::kReleaseOp) {
       tickets_.erase(id);
-      co_await Reply(aExchange, 200, FreeBody());
+      co_await SendJson(aExchange, 200, MakeFreeTokensBody());
       co_return;
     }
     const auto tokens = order.value("tokens", std::uint64_t{ 0 });
-    if (!tickets_.contains(id) && tokens > Free()) {
-      co_await Reply(aExchange, 409, FreeBody());
+    if (!tickets_.contains(id) && tokens > CountFreeTokens()) {
+      co_await SendJson(aExchange, 409, MakeFreeTokensBody());
       co_return;
     }
     tickets_[id] = tokens;
-    co_await Reply(aExchange, 200, FreeBody());
+    co_await SendJson(aExchange, 200, MakeFreeTokensBody());
   }
 
-  json FreeBody() const
+  json MakeFreeTokensBody() const
   {
     json body;
-    body["free"] = Free();
+    body["free"] = CountFreeTokens();
     return body;
   }
 
-  std::uint64_t Free() const
+  std::uint64_t CountFreeTokens() const
   {
     std::uint64_t used = 0;
     for (const auto& [id, tokens] : tickets_) {
       used += tokens;
     }
-    return used < total_ ? total_ - used : 0;
+    return used < kvTotal_ ? kvTotal_ - used : 0;
   }
 
   asio::awaitable<void> HandleRequest(HttpExchange& aExchange)
@@ -147,21 +148,21 @@
     const HttpRequest& request = aExchange.Request();
     const std::string attempt(request.Field(names::kAttemptId));
     ++arrived_[attempt];
-    last_ = TimerService::Now();
-    timesMs_.push_back(
-      std::chrono::duration_cast<milliseconds>(last_.time_since_epoch())
+    lastArrival_ = TimerService::Now();
+    arrivalTimesMs_.push_back(
+      std::chrono::duration_cast<milliseconds>(lastArrival_.time_since_epoch())
         .count());
     for (const HttpField& field : request.fields_) {
       fields_[field.name_] = field.value_;
     }
     if (request.Field(names::kExpectInstance) != id_) {
-      HttpResponse refusal = NotRun(421, request);
+      HttpResponse refusal = MakeNotExecutedResponse(421, request);
       co_await aExchange.Send(std::move(refusal));
       co_return;
     }
-    const std::string fault = TakeFault();
+    const std::string fault = ConsumeFault();
     if (fault == "full" || fault == "helper") {
-      HttpResponse refusal = NotRun(503, request);
+      HttpResponse refusal = MakeNotExecutedResponse(503, request);
       if (fault == "helper") {
         const std::string helpers(request.Field(names::kHelpers));
         refusal.fields_.push_back(
@@ -183,17 +184,19 @@
       co_return;
     }
     if (request.Field(names::kTokenUsage).empty()) {
-      co_await AnswerPlain(aExchange, fault);
+      co_await RespondPlain(aExchange, fault);
     } else {
-      co_await AnswerStream(aExchange, fault);
+      co_await RespondStream(aExchange, fault);
     }
   }
 
-  asio::awaitable<void> AnswerPlain(HttpExchange& aExchange, std::string aFault)
+  asio::awaitable<void> RespondPlain(HttpExchange& aExchange,
+                                     std::string aFault)
   {
     const HttpRequest& request = aExchange.Request();
-    co_await TimerService::SleepFor(workTime_);
-    HttpResponse answer = Head(aFault == "status" ? 500 : 200, request);
+    co_await TimerService::SleepFor(serviceTime_);
+    HttpResponse answer =
+      MakeResponseHead(aFault == "status" ? 500 : 200, request);
     if (aFault == "crossed") {
       answer.fields_.front().value_ = "another";
     }
@@ -205,11 +208,11 @@
     co_await aExchange.Send(std::move(answer));
   }
 
-  asio::awaitable<void> AnswerStream(HttpExchange& aExchange,
-                                     std::string aFault)
+  asio::awaitable<void> RespondStream(HttpExchange& aExchange,
+                                      std::string aFault)
   {
     const HttpRequest& request = aExchange.Request();
-    HttpResponse head = Head(200, request);
+    HttpResponse head = MakeResponseHead(200, request);
     head.fields_.push_back({ "Content-Type", "text/event-stream" });
     if (aFault == "crossed") {
       head.fields_.front().value_ = "another";
@@ -227,7 +230,7 @@
       if (aFault != "gap" || event != afterEvents_ + 1) {
         open = co_await aExchange.Write(text);
       }
-      co_await TimerService::SleepFor(eventTime_);
+      co_await TimerService::SleepFor(eventInterval_);
     }
     if (open) {
       co_await aExchange.Finish();
@@ -236,18 +239,19 @@
 
   std::string id_;
   int events_;
-  milliseconds eventTime_;
-  milliseconds workTime_;
-  std::uint64_t total_;
-  std::string limit_; // as it stands in the answers; empty: none
+  milliseconds eventInterval_;
+  milliseconds serviceTime_;
+  std::uint64_t kvTotal_;
+  std::string rateLimit_; // header value; empty sends no header
   std::string fault_;
-  int times_ = 0;
+  int faultsRemaining_ = 0;
   int afterEvents_ = 2;
   std::map<std::string, int> arrived_;
   std::map<std::string, int> ran_;
-  std::map<std::string, std::string> fields_; // of the last request
-  TimePoint last_{};                          // when it came
-  std::vector<std::int64_t> timesMs_;         // when each request came
+  // The headers of all requests, each with its latest value.
+  std::map<std::string, std::string> fields_;
+  TimePoint lastArrival_{};
+  std::vector<std::int64_t> arrivalTimesMs_; // of all requests
   std::map<std::string, std::string> helpers_;
   std::map<std::string, int> orders_;
   std::map<std::string, std::uint64_t> tickets_;
--- a/fakes/platform/gooseberrylift-fake-fleet-store.cc
+++ b/fakes/platform/gooseberrylift-fake-fleet-store.cc
@@ -1,12 +1,14 @@
-// The fleet platform's store, with the failures that its users describe.
+// A fake of the fleet platform's store, with the failures that its
+// users report.
 //   GET|POST /-/objects/KIND, GET|PUT|DELETE /-/objects/KIND/NAME
 //   POST /control  {"outage", "delay_ms", "lose_answers": n, "mute_ms",
 //                   "forget_history": true, "page": n, "keep_for_any_age": true
-//                   (lists of any age keep returning the current state),
+//                   (lists that allow stale data keep returning the
+//                   current state),
 //                   "put": {"KIND/NAME": spec}, "remove": ["KIND/NAME"]}
-//   GET  /stats    counts by kind of call
-// The text kOddBytes in an object goes out as bytes that are no text.
-// A lost answer: the call is carried out, and its connection says nothing more.
+//   GET  /stats    number of calls by type
+// The text kInvalidUtf8Placeholder in an object is sent as invalid UTF-8.
+// lose_answers: the next n calls are executed, but no response is sent.
 
 #include <map>
 #include <vector>
@@ -23,15 +25,19 @@
 
 namespace {
 
-// Stands in an object for bytes that JSON can't hold.
-constexpr const char* kOddBytes = "ODD-BYTES";
+// Placeholder for bytes that are not valid UTF-8, which JSON cannot represent.
+constexpr const char* kInvalidUtf8Placeholder = "ODD-BYTES";
 
-asio::awaitable<void> ReplyRaw(HttpExchange& aExchange, int aStatus, json aBody)
+asio::awaitable<void> SendJsonWithInvalidUtf8(HttpExchange& aExchange,
+                                              int aStatus,
+                                              json aBody)
 {
   std::string text = aBody.dump();
-  for (std::size_t at = text.find(kOddBytes); at != std::string::npos;
-       at = text.find(kOddBytes)) {
-    text.replace(at, std::string_view(kOddBytes).size(), "\xff\xfe\xc3");
+  for (std::size_t at = text.find(kInvalidUtf8Placeholder);
+       at != std::string::npos;
+       at = text.find(kInvalidUtf8Placeholder)) {
+    text.replace(
+      at, std::string_view(kInvalidUtf8Placeholder).size(), "\xff\xfe\xc3");
   }
   co_await aExchange.Send(JsonResponse(aStatus, std::move(text)));
 }
@@ -54,12 +60,12 @@
     const HttpRequest& request = aExchange.Request();
     const std::string path(request.Path());
     if (path == "/control") {
-      Control(BodyOf(request));
-      co_await Reply(aExchange, 200, json::object());
+      Control(ParseJsonBody(request));
+      co_await SendJson(aExchange, 200, json::object());
       co_return;
     }
     if (path == "/stats") {
-      co_await Reply(aExchange, 200, json(counts_));
+      co_await SendJson(aExchange, 200, json(counts_));
       co_return;
     }
     ++counts_[request.method_];
@@ -68,7 +74,7 @@
     }
     if (outage_) {
       ++counts_["refused"];
-      co_await Reply(aExchange, 503, json::object());
+      co_await SendJson(aExchange, 503, json::object());
       co_return;
     }
     co_await Serve(aExchange,
@@ -101,22 +107,22 @@
       co_await TimerService::SleepFor(std::chrono::seconds(30));
       co_return;
     }
-    co_await ReplyRaw(aExchange, status, body);
+    co_await SendJsonWithInvalidUtf8(aExchange, status, body);
   }
 
   int List(const HttpRequest& aRequest, const std::string& aKind, json& aBody)
   {
-    const bool anyAge = !aRequest.Query(names::kAllowStale).empty();
-    ++counts_[(anyAge ? "list-any-age " : "list ") + aKind];
+    const bool allowStale = !aRequest.Query(names::kAllowStale).empty();
+    ++counts_[(allowStale ? "list-any-age " : "list ") + aKind];
     const std::string after(aRequest.Query("after"));
     json items = json::array();
     bool more = false;
-    auto& source = anyAge && !staleKinds_.empty() ? staleKinds_ : kinds_;
+    auto& source = allowStale && !staleKinds_.empty() ? staleKinds_ : objects_;
     for (const auto& [name, object] : source[aKind]) {
       if (name <= after && !after.empty()) {
         continue;
       }
-      if (items.size() >= page_) {
+      if (items.size() >= pageSize_) {
         more = true;
         break;
       }
@@ -130,8 +136,8 @@
 
   int Find(const std::string& aKind, const std::string& aName, json& aBody)
   {
-    const auto found = kinds_[aKind].find(aName);
-    if (found == kinds_[aKind].end()) {
+    const auto found = objects_[aKind].find(aName);
+    if (found == objects_[aKind].end()) {
       return 404;
     }
     aBody = found->second;
@@ -143,13 +149,13 @@
             std::string aName,
             json& aBody)
   {
-    const json body = BodyOf(aRequest);
+    const json body = ParseJsonBody(aRequest);
     const json metadata = body.value(names::kMetadata, json::object());
     const bool creates = aRequest.method_ == "POST";
     if (creates) {
       aName = metadata.value(names::kName, "");
     }
-    auto& objects = kinds_[aKind];
+    auto& objects = objects_[aKind];
     const auto found = objects.find(aName);
     if (creates == (found != objects.end())) {
       aBody = creates ? found->second : json::object();
@@ -175,46 +181,48 @@
     const auto from = std::stoull("0" + std::string(request.Query("watch")));
     const auto wait = std::atoi(std::string(request.Query("waitMs")).c_str());
     const TimePoint end = TimerService::Now() + milliseconds(wait);
-    while (TimerService::Now() < end && (IsMute() || !HasNews(aKind, from))) {
+    while (TimerService::Now() < end &&
+           (AreWatchesMuted() || !HasChanges(aKind, from))) {
       if (outage_) {
-        co_return; // a waiting watch is cut
+        co_return; // closes the pending watch
       }
       co_await TimerService::SleepFor(milliseconds(5));
     }
     json body;
-    if (from < forgotten_) {
-      co_await Reply(aExchange, 410, json::object());
+    if (from < oldestRevision_) {
+      co_await SendJson(aExchange, 410, json::object());
       co_return;
     }
     json events = json::array();
     for (const Change& change : history_) {
-      if (!IsMute() && change.kind_ == aKind && change.revision_ > from) {
+      if (!AreWatchesMuted() && change.kind_ == aKind &&
+          change.revision_ > from) {
         events.push_back({ { names::kRemoved, change.removed_ },
                            { names::kObject, change.object_ } });
       }
     }
     body[names::kEvents] = events;
-    body[names::kAsOf] = IsMute() ? from : revision_;
-    co_await ReplyRaw(aExchange, 200, body);
+    body[names::kAsOf] = AreWatchesMuted() ? from : revision_;
+    co_await SendJsonWithInvalidUtf8(aExchange, 200, body);
   }
 
-  bool IsMute() const { return TimerService::Now() < muteUntil_; }
+  bool AreWatchesMuted() const { return TimerService::Now() < muteUntil_; }
 
-  bool HasNews(const std::string& aKind, std::uint64_t aFrom) const
+  bool HasChanges(const std::string& aKind, std::uint64_t aFrom) const
   {
     for (const Change& change : history_) {
       if (change.kind_ == aKind && change.revision_ > aFrom) {
         return true;
       }
     }
-    return aFrom < forgotten_;
+    return aFrom < oldestRevision_;
   }
 
   const json& Put(const std::string& aKind,
                   const std::string& aName,
                   const json& aSpec)
   {
-    json& object = kinds_[aKind][aName];
+    json& object = objects_[aKind][aName];
     object[names::kMetadata] = { { names::kName, aName },
                                  { names::kRevision, ++revision_ } };
     object[names::kSpec] = aSpec;
@@ -225,8 +233,8 @@
 
   void Remove(const std::string& aKind, const std::string& aName)
   {
-    json object = kinds_[aKind][aName];
-    kinds_[aKind].erase(aName);
+    json object = objects_[aKind][aName];
+    objects_[aKind].erase(aName);
     ++revision_;
     history_.push_back({ .revision_ = revision_,
                          .kind_ = aKind,
@@ -240,7 +248,7 @@
     delay_ =
       milliseconds(aBody.value("delay_ms", static_cast<int>(delay_.count())));
     loseAnswers_ = aBody.value("lose_answers", loseAnswers_);
-    page_ = aBody.value("page", page_);
+    pageSize_ = aBody.value("page", pageSize_);
     if (aBody.contains("mute_ms")) {
       muteUntil_ = TimerService::Now() + milliseconds(aBody.at("mute_ms"));
     }
@@ -254,24 +262,24 @@
       Remove(key.substr(0, slash), key.substr(slash + 1));
     }
     if (aBody.value("keep_for_any_age", false)) {
-      staleKinds_ = kinds_;
+      staleKinds_ = objects_;
     }
     if (aBody.value("forget_history", false)) {
       history_.clear();
-      forgotten_ = revision_;
+      oldestRevision_ = revision_;
     }
   }
 
-  std::map<std::string, std::map<std::string, json>> kinds_;
+  std::map<std::string, std::map<std::string, json>> objects_;
   std::map<std::string, std::map<std::string, json>> staleKinds_;
   std::vector<Change> history_;
   std::uint64_t revision_ = 1;
-  std::uint64_t forgotten_ = 0; // watches from before it get 410
+  std::uint64_t oldestRevision_ = 0; // watches from an earlier revision get 410
   std::map<std::string, int> counts_;
   bool outage_ = false;
   milliseconds delay_{ 0 };
   int loseAnswers_ = 0;
-  std::size_t page_ = 500;
+  std::size_t pageSize_ = 500;
   TimePoint muteUntil_{};
 };
 
