--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -151,7 +151,7 @@
     End(aRequest, false);
     return;
   }
-  const HoldDecision verdict = options_.holds_ && choice->long_
+  const HoldDecision verdict = options_.holds_ && choice->slowsDecoding_
                                  ? Judge(aRequest, *choice)
                                  : HoldDecision::kSend;
   if (verdict == HoldDecision::kReject) {
@@ -352,7 +352,7 @@
   for (const ListedEndpoint* helper : aChoice.helpers_) {
     shares.push_back(load.OwnShare(helper->id_, At(clock_)));
   }
-  if (options_.far_ == PassFar::kSums && aChoice.long_) {
+  if (options_.far_ == PassFar::kSums && aChoice.slowsDecoding_) {
     clock_.After(kHop,
                  [this, zone = hosts_[aHost].zone_] { TellChanges(zone); });
   }
--- a/fakes/gooseberrylift-fake-store.cc
+++ b/fakes/gooseberrylift-fake-store.cc
@@ -87,7 +87,7 @@
       co_await TimerService::SleepFor(delay_);
     }
     const HttpRequest& request = aExchange.Request();
-    if (!outage_ && !request.Query("watch").empty()) {
+    if (!outage_ && !request.QueryParameter("watch").empty()) {
       ++counts_["watch"];
       co_await Watch(aExchange, path.substr(kApiPath.size()));
       co_return;
@@ -203,7 +203,7 @@
     std::string expected =
       body.value("/metadata/resourceVersion"_json_pointer, "");
     if (aRequest.method_ == "DELETE") {
-      expected = aRequest.Query("resourceVersion");
+      expected = aRequest.QueryParameter("resourceVersion");
     }
     if (aRequest.body_.size() > kMaxObjectBytes) {
       return Failure(413, "RequestEntityTooLarge");
@@ -262,7 +262,9 @@
   {
     const HttpRequest& request = aExchange.Request();
     std::uint64_t lastSentVersion = std::strtoull(
-      std::string(request.Query("resourceVersion")).c_str(), nullptr, 10);
+      std::string(request.QueryParameter("resourceVersion")).c_str(),
+      nullptr,
+      10);
     const std::uint64_t oldest =
       history_.empty() ? version_ : history_.front().version_ - 1;
     if (lastSentVersion < oldest) {
@@ -271,7 +273,7 @@
       co_return;
     }
     const int initialCutCount = watchCutCount_;
-    const std::string limit(request.Query("timeoutSeconds"));
+    const std::string limit(request.QueryParameter("timeoutSeconds"));
     const TimePoint end =
       TimerService::Now() +
       std::chrono::seconds(limit.empty() ? 300 : std::atoi(limit.c_str()));
--- a/fakes/platform/gooseberrylift-fake-fleet-engine.cc
+++ b/fakes/platform/gooseberrylift-fake-fleet-engine.cc
@@ -180,7 +180,7 @@
       std::_Exit(1);
     }
     if (fault == "drop") {
-      aExchange.Drop();
+      aExchange.Disconnect();
       co_return;
     }
     if (request.Field(names::kTokenUsage).empty()) {
--- a/fakes/platform/gooseberrylift-fake-fleet-store.cc
+++ b/fakes/platform/gooseberrylift-fake-fleet-store.cc
@@ -89,7 +89,7 @@
     const std::string kind = aKey.substr(0, slash);
     const std::string name =
       slash == std::string::npos ? "" : aKey.substr(slash + 1);
-    if (request.method_ == "GET" && !request.Query("watch").empty()) {
+    if (request.method_ == "GET" && !request.QueryParameter("watch").empty()) {
       co_await Watch(aExchange, kind);
       co_return;
     }
@@ -112,9 +112,10 @@
 
   int List(const HttpRequest& aRequest, const std::string& aKind, json& aBody)
   {
-    const bool allowStale = !aRequest.Query(names::kAllowStale).empty();
+    const bool allowStale =
+      !aRequest.QueryParameter(names::kAllowStale).empty();
     ++counts_[(allowStale ? "list-any-age " : "list ") + aKind];
-    const std::string after(aRequest.Query("after"));
+    const std::string after(aRequest.QueryParameter("after"));
     json items = json::array();
     bool more = false;
     auto& source = allowStale && !staleKinds_.empty() ? staleKinds_ : objects_;
@@ -178,8 +179,10 @@
   asio::awaitable<void> Watch(HttpExchange& aExchange, std::string aKind)
   {
     const HttpRequest& request = aExchange.Request();
-    const auto from = std::stoull("0" + std::string(request.Query("watch")));
-    const auto wait = std::atoi(std::string(request.Query("waitMs")).c_str());
+    const auto from =
+      std::stoull("0" + std::string(request.QueryParameter("watch")));
+    const auto wait =
+      std::atoi(std::string(request.QueryParameter("waitMs")).c_str());
     const TimePoint end = TimerService::Now() + milliseconds(wait);
     while (TimerService::Now() < end &&
            (AreWatchesMuted() || !HasChanges(aKind, from))) {
--- a/include/gooseberrylift/gooseberrylift-job.h
+++ b/include/gooseberrylift/gooseberrylift-job.h
@@ -60,13 +60,13 @@
   /// Says whether a host may claim the job: queued, or its holder's lease
   /// lapsed. A holder that was only paused loses nothing but its work: its
   /// conditional update fails.
-  bool Claimable(WallTime aNow) const;
+  bool IsClaimable(WallTime aNow) const;
 };
 
 // What a host knows of all jobs, from a list and a watch. Picks the team with
 // the fewest jobs running here, so that one team's thousand jobs don't hold up
 // another's one, and takes a job at random, so that hosts seldom race for one.
-class JobBook
+class JobCache
 {
 public:
   struct Options
@@ -74,10 +74,10 @@
     std::size_t maxWaitingPerTeam_ = 1000;
   };
 
-  explicit JobBook(Options aOptions);
+  explicit JobCache(Options aOptions);
 
   void Clear() { jobs_.clear(); }
-  void OnJob(const std::string& aId, const JobRecord& aRecord);
+  void OnUpdated(const std::string& aId, const JobRecord& aRecord);
   void OnDeleted(const std::string& aId) { jobs_.erase(aId); }
 
   /// Chooses a job to claim.
@@ -95,7 +95,7 @@
   std::vector<std::string> Expired(WallTime aNow) const;
 
   /// Says whether a team may add a job.
-  bool HasRoom(const std::string& aTeam) const;
+  bool CanAddJob(const std::string& aTeam) const;
 
 private:
   struct View
--- a/include/gooseberrylift/gooseberrylift-once-bucket.h
+++ b/include/gooseberrylift/gooseberrylift-once-bucket.h
@@ -19,9 +19,9 @@
 
 enum class OnceState
 {
-  kIntent, // its owner may dispatch the call, nobody else ever
-  kDone,   // ran; the outcome is recorded
-  kLost    // dispatched, and what came of it can't be known
+  kIntent,        // its owner may dispatch the call, nobody else ever
+  kDone,          // ran; the outcome is recorded
+  kOutcomeUnknown // dispatched, and what came of it can't be known
 };
 
 struct OnceRecord
@@ -29,8 +29,8 @@
   std::string digest_; // of the request, to notice another one with the key
   std::string nonce_;  // the attempt that owns the record
   OnceState state_ = OnceState::kIntent;
-  WallTime until_{};   // an intent: the end of its lease; else when it ended
-  std::string result_; // encoded by the runtime; empty when not kept
+  WallTime leaseUntil_{}; // an intent: the end of its lease; else when it ended
+  std::string result_;    // encoded by the runtime; empty when not kept
 };
 
 // What a call wants to write before it is dispatched.
@@ -39,23 +39,23 @@
   std::string key_; // digest of team, service and the caller's key
   std::string digest_;
   std::string nonce_;
-  WallTime until_{};
+  WallTime leaseUntil_{};
 };
 
-enum class OnceVerdict
+enum class OnceBeginStatus
 {
   kBegun,         // the intent is this attempt's own
   kReplay,        // done; the result is at hand
   kResultDropped, // done; the result is no longer kept
   kPending,       // another attempt's intent, within its lease
   kUnknown,       // another attempt's intent, and no outcome is to come
-  kOtherRequest,  // the key belongs to a different request
-  kFull           // no room for one more record
+  kKeyReused,     // the key belongs to a different request
+  kBucketFull     // no room for one more record
 };
 
-struct OnceDecision
+struct OnceBeginResult
 {
-  OnceVerdict verdict_ = OnceVerdict::kUnknown;
+  OnceBeginStatus beginStatus_ = OnceBeginStatus::kUnknown;
   std::string result_{};
   bool changed_ = false; // the bucket must be written before this is true
 };
@@ -69,7 +69,7 @@
 public:
   struct Options
   {
-    std::chrono::seconds retention_{ 86'400 }; // after a record's until_
+    std::chrono::seconds retention_{ 86'400 }; // after a record's leaseUntil_
     std::size_t maxBytes_ = 768 * 1024;        // the store takes 1 MB
   };
 
@@ -82,10 +82,10 @@
   nlohmann::json Spec() const;
 
   /// Claims a key for an attempt, or says why it can't.
-  OnceDecision Begin(const OnceIntent& aIntent, WallTime aNow);
+  OnceBeginResult Begin(const OnceIntent& aIntent, WallTime aNow);
 
   /// Ends an attempt's own record.
-  /// @param aState kDone or kLost
+  /// @param aState kDone or kOutcomeUnknown
   /// @return true when the record changed
   bool Finish(const std::string& aKey,
               const std::string& aNonce,
--- a/include/gooseberrylift/gooseberrylift-once-committer.h
+++ b/include/gooseberrylift/gooseberrylift-once-committer.h
@@ -33,17 +33,17 @@
   OnceState state_ = OnceState::kDone; // of kFinish
   std::string result_{};               // of kFinish
   TimePoint deadline_{};               // when a reply is due at the latest
-  TimePoint writeAt_{}; // until then it only joins a write made for others
+  TimePoint flushAt_{}; // until then it only joins a write made for others
 };
 
 struct OnceReply
 {
   std::uint64_t id_ = 0;
   bool committed_ = false; // false: the store could not be reached in time
-  OnceDecision decision_{};
+  OnceBeginResult beginResult_{};
 };
 
-enum class OnceIoKind
+enum class OnceStoreCallKind
 {
   kRead,
   kCreate,
@@ -51,18 +51,18 @@
 };
 
 // A call to the store that the runtime is to make.
-struct OnceIo
+struct OnceStoreCall
 {
-  OnceIoKind kind_ = OnceIoKind::kRead;
+  OnceStoreCallKind kind_ = OnceStoreCallKind::kRead;
   std::string version_{}; // of kUpdate
   nlohmann::json spec_{};
 };
 
-// The runtime submits operations, makes the calls that NextIo asks for, one at
-// a time, reports how each ended, and hands out the replies:
+// The runtime submits operations, makes the calls that NextStoreCall asks for,
+// one at a time, reports how each ended, and hands out the replies:
 //
 //   committer.Submit(op);
-//   while (auto io = committer.NextIo(now, wall)) { ... On...(); }
+//   while (auto io = committer.NextStoreCall(now, wall)) { ... On...(); }
 //   for (auto& reply : committer.TakeReplies()) { ... }
 class OnceCommitter
 {
@@ -83,12 +83,12 @@
   std::uint64_t Submit(OnceOp aOp);
 
   /// Says which call to make now. @return nothing while one is under way, when
-  /// there is no work, or before WakeAt()
-  std::optional<OnceIo> NextIo(TimePoint aNow, WallTime aWall);
+  /// there is no work, or before NextWakeTime()
+  std::optional<OnceStoreCall> NextStoreCall(TimePoint aNow, WallTime aWall);
 
   /// The object was read, or is known to be absent.
   void OnRead(const std::string& aVersion, const nlohmann::json& aSpec);
-  void OnAbsent();
+  void OnNotFound();
 
   /// The write took effect.
   void OnWritten(const std::string& aVersion, TimePoint aNow);
@@ -104,8 +104,8 @@
 
   std::vector<OnceReply> TakeReplies();
 
-  /// Says when to ask NextIo again, if it gave nothing and work is left.
-  std::optional<TimePoint> WakeAt() const;
+  /// Says when to ask NextStoreCall again, if it gave nothing and work is left.
+  std::optional<TimePoint> NextWakeTime() const;
 
   /// Says whether any operation is queued or under way.
   bool Busy() const { return !queue_.empty() || inFlight_; }
@@ -117,7 +117,7 @@
     int tries_ = 0;
     bool refused_ = false;      // replied to; what it wrote must be undone
     bool maybeWritten_ = false; // a write with it may have taken effect
-    OnceDecision decision_{};
+    OnceBeginResult beginResult_{};
   };
 
   bool AnyDue(TimePoint aNow) const;
--- a/include/gooseberrylift/internal/gooseberrylift-admin-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-admin-api.h
@@ -1,7 +1,7 @@
 // The port that operators, the balancer and the metrics collector use.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
 
 #include <functional>
 #include <map>
@@ -22,7 +22,7 @@
 //
 // /healthz and /readyz are open; all else needs one of the admin keys, if the
 // settings name any.
-class AdminFront
+class AdminApi
 {
 public:
   struct Parts
@@ -33,7 +33,7 @@
     Metrics& metrics_;
   };
 
-  explicit AdminFront(Parts aParts);
+  explicit AdminApi(Parts aParts);
 
   /// Adds a route; only before the first request.
   void Add(const std::string& aMethod,
@@ -59,4 +59,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ADMIN_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
+++ b/include/gooseberrylift/internal/gooseberrylift-burn-recorder.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "gooseberrylift/gooseberrylift-burn-document.h"
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 
 namespace gooseberrylift {
 
@@ -40,7 +40,7 @@
   BurnDocument Document() const;
 
   /// Adds GET /report/burn to the admin port.
-  void AddRoutes(AdminFront& aFront);
+  void AddRoutes(AdminApi& aAdminApi);
 
 private:
   struct Shard
--- a/include/gooseberrylift/internal/gooseberrylift-caller-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-caller-api.h
@@ -1,7 +1,7 @@
 // The port that callers use: model requests and plain services.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 #include "gooseberrylift/internal/gooseberrylift-burn-recorder.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-job-front.h"
+#include "gooseberrylift/internal/gooseberrylift-job-api.h"
 #include "gooseberrylift/internal/gooseberrylift-model-runner.h"
 #include "gooseberrylift/internal/gooseberrylift-once-runner.h"
 #include "gooseberrylift/internal/gooseberrylift-service-runner.h"
@@ -35,7 +35,7 @@
 
 // Answers every request exactly once: whole, as a stream, or with a numbered
 // error. Holds no state between requests; safe from any thread.
-class CallerFront
+class CallerApi
 {
 public:
   struct Parts
@@ -44,19 +44,19 @@
     ModelRunner& models_;
     ServiceRunner& services_;
     OnceRunner& once_;
-    JobFront& jobs_;
+    JobApi& jobs_;
     Metrics& metrics_;
     BurnRecorder& burn_;
   };
 
-  explicit CallerFront(Parts aParts);
+  explicit CallerApi(Parts aParts);
 
   /// Handles one request of the HTTP server.
   boost::asio::awaitable<void> Handle(HttpExchange& aExchange);
 
 private:
   using Handler = boost::asio::awaitable<Outcome<void>> (
-    CallerFront::*)(HttpExchange& aExchange, const CallerRequest& aRequest);
+    CallerApi::*)(HttpExchange& aExchange, const CallerRequest& aRequest);
   struct Route;
   static const Route kRoutes[];
 
@@ -84,4 +84,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CALLER_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-config-admin.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-api.h
@@ -1,14 +1,14 @@
 // Takes operators' changes of configuration on the admin port and makes them
 // the next generation in the store.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
 
 #include <chrono>
 #include <string>
 
 #include "gooseberrylift/gooseberrylift-config-change.h"
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 #include "gooseberrylift/internal/gooseberrylift-config-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-store.h"
 
@@ -26,7 +26,7 @@
 // effect; a lost answer is settled by reading the object back and looking for
 // the change's nonce. Once accepted it is in force on this host at once and
 // told to peers, so that it does not depend on the store any more.
-class ConfigAdmin
+class ConfigApi
 {
 public:
   struct Options
@@ -36,13 +36,13 @@
     std::chrono::milliseconds pause_{ 100 }; // between two tries to settle
   };
 
-  ConfigAdmin(ObjectStore& aStore,
-              ConfigFollower& aFollower,
-              Blackboard& aBoard,
-              Options aOptions);
+  ConfigApi(ObjectStore& aStore,
+            ConfigFollower& aFollower,
+            Blackboard& aBoard,
+            Options aOptions);
 
   /// Adds the routes.
-  void AddRoutes(AdminFront& aFront);
+  void AddRoutes(AdminApi& aAdminApi);
 
 private:
   boost::asio::awaitable<void> HandleShow(HttpExchange& aExchange);
@@ -80,4 +80,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_ADMIN_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_CONFIG_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-config-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-config-follower.h
@@ -63,9 +63,9 @@
   bool Offer(const StoreObject& aObject);
 
   /// The same for a text that did not come as an object.
-  bool OfferText(std::uint64_t aGeneration,
-                 const std::string& aText,
-                 ConfigSource aSource);
+  bool ApplyTextIfNewer(std::uint64_t aGeneration,
+                        const std::string& aText,
+                        ConfigSource aSource);
 
 private:
   boost::asio::awaitable<bool> ReadAndWatch();
--- a/include/gooseberrylift/internal/gooseberrylift-encoding.h
+++ b/include/gooseberrylift/internal/gooseberrylift-encoding.h
@@ -17,17 +17,17 @@
 std::optional<std::string> DecodeBase64(std::string_view aText);
 
 /// Compresses a text (zstd) and encodes it as base64.
-std::string PackText(const std::string& aText);
+std::string CompressToBase64(const std::string& aText);
 
-/// Undoes PackText. @return nothing when the text is none of its making, or
-/// larger than 256 MB
-std::optional<std::string> UnpackText(const std::string& aText);
+/// Undoes CompressToBase64. @return nothing when the text is none of its
+/// making, or larger than 256 MB
+std::optional<std::string> DecompressFromBase64(const std::string& aText);
 
 /// Digests several parts, each with its length, so that no two lists of parts
 /// run into one text. The first 128 bits of SHA-256: callers choose the parts,
 /// and must not be able to make two requests look alike.
 /// @return 16 bytes
-std::string DigestOf(std::initializer_list<std::string_view> aParts);
+std::string ComputeDigest(std::initializer_list<std::string_view> aParts);
 
 // Of a message authentication code: the first half of HMAC-SHA256.
 inline constexpr std::size_t kMacBytes = 16;
--- a/include/gooseberrylift/internal/gooseberrylift-endpoint-limiter.h
+++ b/include/gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h
@@ -1,8 +1,8 @@
 // Keeps this host within the rate limits that endpoints name for all hosts
 // together.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
 
 #include <chrono>
 #include <functional>
@@ -40,7 +40,7 @@
 // elsewhere at once; the question is asked for the next one. A host that hears
 // none of the others grants itself its even part of the rate. Safe from any
 // thread.
-class EndpointLimiter
+class EndpointRateLimiter
 {
 public:
   // Calls a method of a peer.
@@ -56,7 +56,7 @@
     // Says whether an incarnation is in the list of endpoints.
     EndpointRateLimits::IsListed isListed_;
     // The other hosts are to know at once which endpoints have limits.
-    std::function<void()> tell_;
+    std::function<void()> notifyPeers_;
     // Answered there by Answer().
     Call call_;
   };
@@ -69,7 +69,7 @@
     std::chrono::milliseconds askTimeout_{ 300 };
   };
 
-  EndpointLimiter(Parts aParts, Options aOptions);
+  EndpointRateLimiter(Parts aParts, Options aOptions);
 
   /// Takes in what an endpoint's answer says of its limit.
   /// @param aSent when the request was sent that it answers
@@ -96,7 +96,7 @@
 
   /// Finds the limited ones among a request's candidates, and asks for permits
   /// where there is none.
-  LimitedEndpoints Judge(const std::vector<ListedEndpoint>& aCandidates);
+  LimitedEndpoints CheckPermits(const std::vector<ListedEndpoint>& aCandidates);
 
   /// Uses a permit for a request to an endpoint.
   /// @return false when it needs one and there is none
@@ -141,4 +141,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_LIMITER_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_ENDPOINT_RATE_LIMITER_H_
--- a/include/gooseberrylift/internal/gooseberrylift-entry-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-entry-host.h
@@ -7,15 +7,15 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "gooseberrylift/gooseberrylift-settings.h"
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 #include "gooseberrylift/internal/gooseberrylift-blackboard.h"
 #include "gooseberrylift/internal/gooseberrylift-burn-recorder.h"
-#include "gooseberrylift/internal/gooseberrylift-caller-front.h"
-#include "gooseberrylift/internal/gooseberrylift-config-admin.h"
+#include "gooseberrylift/internal/gooseberrylift-caller-api.h"
+#include "gooseberrylift/internal/gooseberrylift-config-api.h"
 #include "gooseberrylift/internal/gooseberrylift-config-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-endpoint-tracker.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
-#include "gooseberrylift/internal/gooseberrylift-job-front.h"
+#include "gooseberrylift/internal/gooseberrylift-job-api.h"
 #include "gooseberrylift/internal/gooseberrylift-job-runner.h"
 #include "gooseberrylift/internal/gooseberrylift-metrics.h"
 #include "gooseberrylift/internal/gooseberrylift-model-runner.h"
@@ -66,10 +66,10 @@
   OnceLedger onceLedger_;
   OnceRunner once_;
   JobRunner jobs_;
-  JobFront jobFront_;
-  CallerFront callerFront_;
-  AdminFront adminFront_;
-  ConfigAdmin configAdmin_;
+  JobApi jobApi_;
+  CallerApi callerApi_;
+  AdminApi adminApi_;
+  ConfigApi configApi_;
   HttpServer callerServer_;
   HttpServer adminServer_;
   HttpServer peerServer_;
--- a/include/gooseberrylift/internal/gooseberrylift-fleet.h
+++ b/include/gooseberrylift/internal/gooseberrylift-fleet.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/limits/gooseberrylift-stall-timeout.h"
 #include "gooseberrylift/membership/gooseberrylift-load-message.h"
 #include "gooseberrylift/membership/gooseberrylift-zone-load.h"
@@ -31,7 +31,7 @@
 {
   std::uint64_t id_ = 0; // this host's own number of it
   std::string service_;
-  std::optional<EngineProfile> figures_; // none for a plain service
+  std::optional<EngineProfile> engineProfile_; // none for a plain service
   ServiceGaps gaps_;
   PlacementRequest request_;
   std::set<std::string> tried_; // endpoints that failed it
@@ -46,7 +46,7 @@
   std::uint64_t reservedTokens_ = 0;           // to be set aside at each helper
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted
   std::chrono::microseconds wait_{ 0 };        // of that, before its read
-  bool long_ = false;            // its read disturbs those that write beside it
+  bool slowsDecoding_ = false;   // its read disturbs those that write beside it
   bool deferred_ = false;        // lets those go first that are not late
   bool peerLoadUnknown_ = false; // chosen without a word of other hosts
   EndpointLoad load_;            // at the endpoint, before it
@@ -65,7 +65,7 @@
   {
     std::string host_;
     std::string zone_;
-    EndpointLimiter& limiter_;
+    EndpointRateLimiter& limiter_;
     // Told of an endpoint that has started again under the id that it had.
     std::function<void(const std::string& aEndpoint)> onReborn_{};
   };
@@ -89,7 +89,7 @@
 
   /// Uses the permit that a placement needs, if it needs one.
   /// @return false when there is none any more: it is to be placed anew
-  bool Claim(const FleetPlacement& aPlacement);
+  bool TryUsePermit(const FleetPlacement& aPlacement);
 
   /// Says when the service has a permit again; zero or less while one is being
   /// asked for.
@@ -101,8 +101,8 @@
   void OnListed(const ListedEndpoint& aListed);
 
   /// Says whether a service has usable endpoints beside those tried.
-  bool HasOther(const std::string& aService,
-                const std::set<std::string>& aTried);
+  bool HasUntriedEndpoint(const std::string& aService,
+                          const std::set<std::string>& aTried);
 
   /// Says whether an incarnation is in the list of endpoints.
   bool IsListed(const Incarnation& aEndpoint);
@@ -112,13 +112,15 @@
 
   // A request in work at its endpoint and helpers. It counts in their load
   // until it is ended or goes.
-  class Use
+  class ActiveRequest
   {
   public:
-    Use(Fleet& aFleet, const FleetQuery& aQuery, FleetPlacement aPlacement);
-    ~Use();
-    Use(const Use&) = delete;
-    Use& operator=(const Use&) = delete;
+    ActiveRequest(Fleet& aFleet,
+                  const FleetQuery& aQuery,
+                  FleetPlacement aPlacement);
+    ~ActiveRequest();
+    ActiveRequest(const ActiveRequest&) = delete;
+    ActiveRequest& operator=(const ActiveRequest&) = delete;
 
     const FleetPlacement& Placement() const { return placement_; }
 
@@ -126,10 +128,10 @@
 
     /// Notes that the endpoint sent something.
     /// @param aFirst whether it was the first of its answer
-    void OnHeard(bool aFirst);
+    void OnDataReceived(bool aFirst);
 
     /// Gives what is known of the endpoint while its answer is waited for.
-    EndpointActivity Signs() const;
+    EndpointActivity CurrentActivity() const;
 
     /// Ends the use and notes how it went.
     void End(EndpointOutcome aOutcome);
--- a/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
+++ b/include/gooseberrylift/internal/gooseberrylift-forward-fields.h
@@ -13,7 +13,7 @@
 
 /// Gives the fields without those that concern one connection or that this
 /// host sets itself.
-HttpFields WithoutOwnFields(const HttpFields& aFields);
+HttpFields WithoutHostFields(const HttpFields& aFields);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-board.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-board.h
@@ -16,16 +16,16 @@
 };
 
 // Written by GatewayHost at the start and with each change of the settings.
-struct BoundsState
+struct GatewaySettingsState
 {
-  GatewaySettings bounds_;
+  GatewaySettings gatewaySettings_;
 };
 
 struct GatewayBoard
 {
   BlackboardSection<RoutesState> routes_;
   BlackboardSection<HostState> host_; // written by GatewayHost
-  BlackboardSection<BoundsState> bounds_;
+  BlackboardSection<GatewaySettingsState> gatewaySettings_;
 };
 
 } // namespace gooseberrylift
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-front.h
@@ -45,7 +45,7 @@
 private:
   boost::asio::awaitable<void> WaitForFirstProof();
   Outcome<RoutedRequest> Resolve(const HttpRequest& aRequest,
-                                 CallerFacts aFacts,
+                                 CallerRequestMetadata aFacts,
                                  TimePoint aArrived);
   boost::asio::awaitable<Outcome<void>> Serve(HttpExchange& aExchange,
                                               RequestRun& aRun);
--- a/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
+++ b/include/gooseberrylift/internal/gooseberrylift-gateway-host.h
@@ -13,18 +13,18 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "gooseberrylift/gooseberrylift-settings.h"
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-fleet.h"
 #include "gooseberrylift/internal/gooseberrylift-gateway-front.h"
-#include "gooseberrylift/internal/gooseberrylift-headline-words.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
 #include "gooseberrylift/internal/gooseberrylift-metrics.h"
 #include "gooseberrylift/internal/gooseberrylift-peer-exchange.h"
 #include "gooseberrylift/internal/gooseberrylift-route-follower.h"
 #include "gooseberrylift/internal/gooseberrylift-settings-watch.h"
 #include "gooseberrylift/internal/gooseberrylift-store-follower.h"
+#include "gooseberrylift/internal/gooseberrylift-store-status-exchange.h"
 #include "gooseberrylift/membership/gooseberrylift-peer-groups.h"
 
 namespace gooseberrylift {
@@ -52,7 +52,7 @@
   void TakeInPeers(const PeersState& aPeers);
   bool IsSeed() const; // others are told to come to this host first
   std::string AdminAddress() const;
-  EndpointLimiter::Parts LimiterParts();
+  EndpointRateLimiter::Parts LimiterParts();
   StoreFollower::Parts FollowerParts();
   StoreFollower::Options FollowerOptions() const;
   boost::asio::awaitable<void> StartPeers();
@@ -77,20 +77,20 @@
   HttpClient peerClient_;
   std::unique_ptr<ObjectStore> store_;
   std::unique_ptr<WireDialect> dialect_;
-  EndpointLimiter limiter_;
+  EndpointRateLimiter limiter_;
   Fleet fleet_;
   ReaderRank rank_;   // among the live hosts, as last heard
   PeerGroups groups_; // the other hosts, as last heard
   RouteFollower routes_;
   EndpointFollower endpoints_;
   StoreFollower follower_;
-  SharedRepeatBudget repeats_;
+  SharedRetryBudget retryBudget_;
   std::atomic<bool> peersProven_ = false; // another host may believe keys
   PeerExchange peers_;
-  SuspectWatch suspects_;
+  PoisonRequestMonitor poisonRequestMonitor_;
   PeerDatagrams datagrams_;
-  HeadlineWords headlines_;
-  LoadWords words_;
+  StoreStatusExchange headlines_;
+  LoadExchange words_;
   SettingsWatch settingsWatch_;
   GatewayFront front_;
   HttpServer callerServer_;
--- a/include/gooseberrylift/internal/gooseberrylift-http-client.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-client.h
@@ -44,7 +44,7 @@
 
   /// Says whether the body ended by its length or last chunk. False means that
   /// only the closed connection marked the end, so it may be cut.
-  virtual bool EndIsCertain() const = 0;
+  virtual bool HasExplicitEnd() const = 0;
 };
 
 // Keeps idle connections by address; safe to use from several threads:
@@ -65,7 +65,7 @@
 
   struct CallOptions
   {
-    bool freshConnection_ = false; // never one that was used before
+    bool forceNewConnection_ = false; // never one that was used before
     // A kept connection that was idle for longer is passed over.
     std::chrono::milliseconds maxIdle_{ std::chrono::hours(1) };
     // Instead of the client's own.
@@ -114,8 +114,9 @@
   /// listens there.
   /// @return true only when the connection was refused; that it did not come
   /// about in time proves nothing
-  boost::asio::awaitable<bool> IsRefused(std::string aAddress,
-                                         std::chrono::milliseconds aTimeout);
+  boost::asio::awaitable<bool> IsConnectionRefused(
+    std::string aAddress,
+    std::chrono::milliseconds aTimeout);
 
 private:
   class Impl;
--- a/include/gooseberrylift/internal/gooseberrylift-http-server.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http-server.h
@@ -32,7 +32,7 @@
 
 /// Gives the result code for a handler that was cancelled.
 /// @param aOther for the reasons that have no code of their own
-ResultCode CodeOf(AbortReason aReason, ResultCode aOther);
+ResultCode ResultCodeOf(AbortReason aReason, ResultCode aOther);
 
 // One request and the way to answer it, on the connection's strand. A handler
 // answers once, whole or as a stream. When the caller leaves, the deadline
@@ -67,10 +67,10 @@
   virtual boost::asio::awaitable<bool> Finish() = 0;
 
   /// Closes the connection without an answer, or without the rest of one.
-  virtual void Drop() = 0;
+  virtual void Disconnect() = 0;
 
   /// Says whether the head of an answer was sent.
-  virtual bool Started() const = 0;
+  virtual bool ResponseStarted() const = 0;
 
   /// Cancels the handler at a time, with the reason kDeadline.
   virtual void SetDeadline(TimePoint aDeadline) = 0;
@@ -142,7 +142,7 @@
                                             TimePoint aDeadline);
 
   /// Gives the number of requests that are being read or answered now.
-  std::size_t Active() const;
+  std::size_t ActiveRequests() const;
 
   /// Cancels every running handler with the reason kStopping, so that callers
   /// get a final answer.
--- a/include/gooseberrylift/internal/gooseberrylift-http.h
+++ b/include/gooseberrylift/internal/gooseberrylift-http.h
@@ -50,7 +50,7 @@
   std::string_view Path() const;
 
   /// Finds a parameter of the query, as sent; empty when there is none.
-  std::string_view Query(std::string_view aName) const;
+  std::string_view QueryParameter(std::string_view aName) const;
 };
 
 struct HttpResponse
@@ -68,7 +68,7 @@
 /// Says whether an answer belongs to a request: endpoints echo X-Request-Id.
 /// An answer without the echo is nobody's, since a late or crossed one, such as
 /// a load report's, looks just like it.
-bool IsAnswerTo(const HttpResponse& aHead, std::string_view aRequestId);
+bool IsResponseTo(const HttpResponse& aHead, std::string_view aRequestId);
 
 // gcc 12 destroys a temporary aggregate twice when it stands inside a co_await
 // expression. Coroutines therefore make messages through these functions or in
--- a/include/gooseberrylift/internal/gooseberrylift-job-front.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-api.h
@@ -1,7 +1,7 @@
 // Callers' requests about jobs: add, look at, remove.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
 
 #include <chrono>
 #include <string>
@@ -22,7 +22,7 @@
 // GET /v1/jobs/{id}   state and, when it ended, result or reason
 // DELETE /v1/jobs/{id}
 // Holds no state between requests; safe from any thread.
-class JobFront
+class JobApi
 {
 public:
   struct Options
@@ -32,7 +32,7 @@
     std::chrono::hours keepFor_{ 24 };
   };
 
-  JobFront(ObjectStore& aStore, JobRunner& aRunner, Options aOptions);
+  JobApi(ObjectStore& aStore, JobRunner& aRunner, Options aOptions);
 
   /// Answers a request on one of the paths.
   /// @param aTeam the name of the caller's team
@@ -60,4 +60,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_FRONT_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_JOB_API_H_
--- a/include/gooseberrylift/internal/gooseberrylift-job-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-job-runner.h
@@ -27,7 +27,7 @@
   struct Options
   {
     std::size_t maxRunning_ = 16; // jobs at once on this host
-    std::chrono::milliseconds lease_{ 15'000 };
+    std::chrono::milliseconds leaseDuration_{ 15'000 };
     int maxClaims_ = 8;   // hosts that begin a job before it fails
     int maxFailures_ = 2; // failed generations, each of several engines
     std::chrono::milliseconds pick_{ 50 };
@@ -48,7 +48,7 @@
   void Start();
 
   /// Says whether a team may add a job.
-  bool HasRoom(const std::string& aTeam) const;
+  bool CanAddJob(const std::string& aTeam) const;
 
 private:
   struct Claim;
@@ -78,8 +78,8 @@
   Blackboard& board_;
   boost::asio::any_io_executor executor_;
   Options options_;
-  mutable std::mutex mutex_; // guards book_ and running_
-  JobBook book_;
+  mutable std::mutex mutex_; // guards jobCache_ and running_
+  JobCache jobCache_;
   std::map<std::string, std::string> running_; // team by job
 };
 
--- a/include/gooseberrylift/internal/gooseberrylift-load-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-load-exchange.h
@@ -1,7 +1,7 @@
 // Tells other hosts in datagrams what this one has in work, and hears them.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
 
 #include <cstdint>
 #include <functional>
@@ -28,7 +28,7 @@
 // sums up what its zone has in work and tells it to the other zones
 // (ZoneLoadAggregator). All of it runs on one executor, to which its owner's
 // calls belong too.
-class LoadWords
+class LoadExchange
 {
 public:
   struct Parts
@@ -39,10 +39,10 @@
     // The same at some endpoints.
     std::function<std::vector<EndpointShare>(
       const std::vector<ListedEndpoint>& aEndpoints)>
-      ownAt_;
+      ownSharesAt_;
     // Sums of what the hosts of this zone have in work.
-    std::function<std::vector<EndpointShare>()> zoneSums_;
-    std::function<void(const LoadMessage& aWord)> take_; // of a peer
+    std::function<std::vector<EndpointShare>()> zoneTotals_;
+    std::function<void(const LoadMessage& aWord)> onReceived_; // of a peer
   };
 
   struct Options
@@ -61,7 +61,7 @@
     std::chrono::milliseconds leastBetweenSums_{ 100 };
   };
 
-  LoadWords(Parts aParts, Options aOptions);
+  LoadExchange(Parts aParts, Options aOptions);
 
   /// Begins to tell.
   void Start();
@@ -72,10 +72,11 @@
   /// Notes that this host has placed something.
   /// @param aUrgent it is told beyond the bound: a long prompt, for which the
   /// others would take the same idle endpoints
-  void OnPlaced(const std::vector<ListedEndpoint>& aEndpoints, bool aUrgent);
+  void OnRequestPlaced(const std::vector<ListedEndpoint>& aEndpoints,
+                       bool aUrgent);
 
   /// Notes that something has ended.
-  void OnEnded() { SendWholeSoon(); }
+  void OnRequestEnded() { SendWholeSoon(); }
 
 private:
   boost::asio::awaitable<void> SendAt(TimePoint aWhen);
@@ -111,4 +112,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_WORDS_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_LOAD_EXCHANGE_H_
--- a/include/gooseberrylift/internal/gooseberrylift-log.h
+++ b/include/gooseberrylift/internal/gooseberrylift-log.h
@@ -41,11 +41,11 @@
   kKeysUnproven = 1107,
   kKeysProven = 1108,
   kStoreReading = 1109,
-  kZoneSummed = 1110,
+  kZoneAggregatorChanged = 1110,
   kHostListLost = 1200,
   kEndpointState = 1201,
   kEntryRefused = 1202,
-  kEndpointReborn = 1203,
+  kEndpointRestarted = 1203,
   kEndpointRate = 1204,
   kZoneEvacuated = 1205,
   kRequestFinished = 1300,
@@ -54,11 +54,11 @@
   kRequestServed = 1303,
   kRequestPlaced = 1400,
   kRequestRefused = 1401,
-  kRequestSuspected = 1402,
+  kPoisonRequestDetected = 1402,
   kJobEnded = 1520,
   kJobClaimLost = 1521,
   kPeerRefused = 1600,
-  kPeerWordsFailed = 1601,
+  kLoadPortUnavailable = 1601,
 };
 
 // One row of the catalogue.
--- a/include/gooseberrylift/internal/gooseberrylift-memory-holds.h
+++ b/include/gooseberrylift/internal/gooseberrylift-memory-reservation.h
@@ -1,8 +1,8 @@
 // Memory set aside at several engines for one prompt that no single engine can
 // hold.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_HOLDS_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_HOLDS_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_RESERVATION_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_RESERVATION_H_
 
 #include <chrono>
 #include <cstdint>
@@ -61,7 +61,7 @@
   MemoryHolds(const MemoryHolds&) = delete;
   MemoryHolds& operator=(const MemoryHolds&) = delete;
 
-  const std::string& TicketId() const { return ticketId_; }
+  const std::string& TicketId() const { return reservationId_; }
 
 private:
   MemoryHolds(Parts aParts,
@@ -77,7 +77,7 @@
                                                 TimePoint aDeadline);
 
   Parts parts_;
-  std::string ticketId_;
+  std::string reservationId_;
   std::uint64_t tokens_;
   Options options_;
   std::vector<std::string> addresses_; // where memory is or may be set aside
@@ -86,4 +86,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_HOLDS_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_MEMORY_RESERVATION_H_
--- a/include/gooseberrylift/internal/gooseberrylift-model-request.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-request.h
@@ -36,11 +36,11 @@
 
 /// Makes the body of an answer that was not streamed.
 /// @return the JSON text
-std::string WholeModelAnswer(const ModelRequest& aRequest,
-                             const std::string& aRequestId,
-                             const std::string& aText,
-                             const std::string& aFinishReason,
-                             std::uint64_t aTokens);
+std::string MakeModelResponse(const ModelRequest& aRequest,
+                              const std::string& aRequestId,
+                              const std::string& aText,
+                              const std::string& aFinishReason,
+                              std::uint64_t aTokens);
 
 } // namespace gooseberrylift
 
--- a/include/gooseberrylift/internal/gooseberrylift-model-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-runner.h
@@ -52,7 +52,7 @@
   /// Says that no further token has arrived yet, so that a sink that gathers
   /// tokens passes them on now.
   /// @return false to end the generation, because nobody reads on
-  virtual boost::asio::awaitable<bool> OnPause() { co_return true; }
+  virtual boost::asio::awaitable<bool> Flush() { co_return true; }
 };
 
 struct GenerationResult
--- a/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-exchange.h
@@ -46,7 +46,7 @@
     // Gives this host's word of itself, but for names and sequence.
     std::function<Digest()> own_;
     // Takes the latest words of the other hosts.
-    std::function<void(const PeersState& aPeers)> publish_;
+    std::function<void(const PeersState& aPeers)> onPeersChanged_;
     // Gives and takes configurations; empty when hosts get them elsewhere.
     std::function<OfferedConfiguration()> configuration_{};
     std::function<void(const OfferedConfiguration& aOffered)> offer_{};
@@ -92,10 +92,10 @@
 
   /// Tells peers that are behind of a new configuration, at once instead of
   /// with the next round.
-  void TellNews();
+  void AnnounceConfiguration();
 
   /// Exchanges with peers nearby at once, for what can't wait for a round.
-  void TellNear();
+  void ExchangeInScope();
 
   /// Adds a method that peers may call; only before Start.
   void AddMethod(const std::string& aName, PeerRpc::Method aMethod)
--- a/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
+++ b/include/gooseberrylift/internal/gooseberrylift-peer-rpc.h
@@ -64,7 +64,7 @@
   }
 
   /// Says whether a request is a call of a peer.
-  static bool IsCall(const HttpRequest& aRequest);
+  static bool IsRpcRequest(const HttpRequest& aRequest);
 
   /// Calls a method of a peer.
   /// @return the result, or an error with kPeerUnreachable or kPeerRefused
--- a/include/gooseberrylift/internal/gooseberrylift-suspect-watch.h
+++ b/include/gooseberrylift/internal/gooseberrylift-poison-request-monitor.h
@@ -1,8 +1,8 @@
 // Watches for requests that end the endpoints which run them, and finds out
 // whether an endpoint that broke off has ended or lives.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
 
 #include <functional>
 #include <mutex>
@@ -20,7 +20,7 @@
 namespace gooseberrylift {
 
 // Safe from any thread. It must outlive what it spawned on its executor.
-class SuspectWatch
+class PoisonRequestMonitor
 {
 public:
   struct Parts
@@ -28,10 +28,10 @@
     HttpClient& client_;
     boost::asio::any_io_executor executor_;
     // The other hosts are to know at once which requests are refused.
-    std::function<void()> tell_;
+    std::function<void()> notifyPeers_;
   };
 
-  explicit SuspectWatch(Parts aParts);
+  explicit PoisonRequestMonitor(Parts aParts);
 
   /// Notes that an endpoint broke off a request, and looks soon after whether
   /// it still listens.
@@ -63,4 +63,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SUSPECT_WATCH_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_POISON_REQUEST_MONITOR_H_
--- a/include/gooseberrylift/internal/gooseberrylift-request-run.h
+++ b/include/gooseberrylift/internal/gooseberrylift-request-run.h
@@ -13,14 +13,14 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "gooseberrylift/gooseberrylift-attempt-errors.h"
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 #include "gooseberrylift/internal/gooseberrylift-fleet.h"
 #include "gooseberrylift/internal/gooseberrylift-http-client.h"
 #include "gooseberrylift/internal/gooseberrylift-http-server.h"
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
-#include "gooseberrylift/internal/gooseberrylift-memory-holds.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
+#include "gooseberrylift/internal/gooseberrylift-memory-reservation.h"
+#include "gooseberrylift/internal/gooseberrylift-poison-request-monitor.h"
 #include "gooseberrylift/internal/gooseberrylift-route-follower.h"
-#include "gooseberrylift/internal/gooseberrylift-suspect-watch.h"
 #include "gooseberrylift/internal/gooseberrylift-wire-dialect.h"
 #include "gooseberrylift/limits/gooseberrylift-fleet-retry-budget.h"
 #include "gooseberrylift/limits/gooseberrylift-long-prompt-hold.h"
@@ -29,7 +29,7 @@
 namespace gooseberrylift {
 
 // The repeat budget of this host, shared by its requests.
-struct SharedRepeatBudget
+struct SharedRetryBudget
 {
   std::mutex mutex_; // guards what follows
   FleetRetryBudget budget_{ FleetRetryBudget::Options{} };
@@ -41,7 +41,7 @@
 {
   std::string fingerprint_; // what is the same when it comes again
   std::uint64_t id_ = 0;    // this host's own number
-  CallerFacts facts_;
+  CallerRequestMetadata facts_;
   RouteTable::Ptr table_;
   const Route* route_ = nullptr; // of table_
   std::string service_;
@@ -67,11 +67,11 @@
     const WireDialect& dialect_;
     Fleet& fleet_;
     RouteFollower& routes_;
-    SharedRepeatBudget& repeats_;
-    SuspectWatch& suspects_;
-    EndpointLimiter& limiter_;
+    SharedRetryBudget& retryBudget_;
+    PoisonRequestMonitor& poisonRequestMonitor_;
+    EndpointRateLimiter& limiter_;
     boost::asio::any_io_executor executor_;
-    LoadWords& words_; // for the other hosts
+    LoadExchange& words_; // for the other hosts
   };
 
   RequestRun(Parts aParts, HttpExchange& aExchange, RoutedRequest aRequest);
@@ -118,20 +118,24 @@
   boost::asio::awaitable<Outcome<std::unique_ptr<MemoryHolds>>> TakeMemory(
     const FleetPlacement& aPlacement);
   boost::asio::awaitable<Outcome<void>> Attempt(FleetPlacement aPlacement);
-  boost::asio::awaitable<Outcome<void>> ReadHead(HttpCall& aCall,
-                                                 Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> ReadHead(
+    HttpCall& aCall,
+    Fleet::ActiveRequest& aActiveRequest);
   boost::asio::awaitable<Outcome<std::optional<std::string>>> ReadPiece(
     HttpCall& aCall,
-    const Fleet::Use& aUse);
+    const Fleet::ActiveRequest& aActiveRequest);
   std::optional<Error> CheckHead(const HttpResponse& aHead,
-                                 const Fleet::Use& aUse);
-  void NoteRate(const EndpointFacts& aFacts, const Fleet::Use& aUse);
-  boost::asio::awaitable<Outcome<void>> PassWhole(HttpCall& aCall,
-                                                  const Fleet::Use& aUse);
+                                 const Fleet::ActiveRequest& aActiveRequest);
+  void NoteRate(const EndpointResponseMetadata& aFacts,
+                const Fleet::ActiveRequest& aActiveRequest);
+  boost::asio::awaitable<Outcome<void>> PassWhole(
+    HttpCall& aCall,
+    const Fleet::ActiveRequest& aActiveRequest);
   boost::asio::awaitable<Outcome<void>> PassLarge(HttpCall& aCall,
                                                   std::string aBegin);
-  boost::asio::awaitable<Outcome<void>> PassStream(HttpCall& aCall,
-                                                   Fleet::Use& aUse);
+  boost::asio::awaitable<Outcome<void>> PassStream(
+    HttpCall& aCall,
+    Fleet::ActiveRequest& aActiveRequest);
   Outcome<std::string> TakeEvents(EventSplitter& aSplitter);
   boost::asio::awaitable<Outcome<void>> WriteEvents(const HttpResponse& aHead,
                                                     std::string aEvents);
@@ -143,7 +147,7 @@
   bool MayLeave() const;
   TimePoint SilentAt() const;
   TimePoint LookAgainAt() const;
-  bool LeavesSilent(const Fleet::Use& aUse);
+  bool LeavesSilent(const Fleet::ActiveRequest& aActiveRequest);
   bool IsSilence(const Error& aError) const;
   bool PayRepeat();
   void SayWhenToReturn(Error aError);
--- a/include/gooseberrylift/internal/gooseberrylift-route-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-route-follower.h
@@ -32,7 +32,7 @@
   void OnProof(BootTime aBegan);
 
   /// Says whether a caller's key may be believed now.
-  bool KeysAreProven();
+  bool AreKeysProven();
 
   /// Gives the age of the last proof; nothing without one.
   std::optional<std::chrono::milliseconds> ProofAge();
--- a/include/gooseberrylift/internal/gooseberrylift-service-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-service-runner.h
@@ -22,7 +22,7 @@
   std::string pool_;
   RequestInfo info_;
   HttpRequest request_; // as the endpoint is to receive it
-  bool repeatable_ = false;
+  bool retryable_ = false;
   // Asked right before each attempt; false ends the call as not run.
   std::function<bool()> mayDispatch_{};
 };
--- a/include/gooseberrylift/internal/gooseberrylift-op-guard.h
+++ b/include/gooseberrylift/internal/gooseberrylift-socket-deadline.h
@@ -1,8 +1,8 @@
 // Bounds socket operations in time without closing the socket, so that a
 // server can still say why it gave up.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_OP_GUARD_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_OP_GUARD_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SOCKET_DEADLINE_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SOCKET_DEADLINE_H_
 
 #include <memory>
 
@@ -15,12 +15,12 @@
 
 // Cancels what a socket awaits when a time comes, while it lives. It must live
 // and die on the socket's strand.
-class OpGuard
+class SocketDeadline
 {
 public:
-  OpGuard(boost::asio::ip::tcp::socket& aSocket,
-          const boost::asio::any_io_executor& aStrand,
-          TimePoint aDeadline)
+  SocketDeadline(boost::asio::ip::tcp::socket& aSocket,
+                 const boost::asio::any_io_executor& aStrand,
+                 TimePoint aDeadline)
     : state_(std::make_shared<State>(aSocket, aStrand))
   {
     state_->timer_.expires_at(aDeadline);
@@ -35,14 +35,14 @@
       });
   }
 
-  ~OpGuard()
+  ~SocketDeadline()
   {
     state_->socket_ = nullptr;
     state_->timer_.cancel();
   }
 
-  OpGuard(const OpGuard&) = delete;
-  OpGuard& operator=(const OpGuard&) = delete;
+  SocketDeadline(const SocketDeadline&) = delete;
+  SocketDeadline& operator=(const SocketDeadline&) = delete;
 
   bool Expired() const { return state_->expired_; }
 
@@ -65,4 +65,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_OP_GUARD_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_SOCKET_DEADLINE_H_
--- a/include/gooseberrylift/internal/gooseberrylift-store-follower.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store-follower.h
@@ -131,7 +131,7 @@
 
 private:
   boost::asio::awaitable<void> Read();
-  boost::asio::awaitable<void> ReadAnyAge();
+  boost::asio::awaitable<void> ReadAllowStale();
   boost::asio::awaitable<bool> ReadRoutes();
   boost::asio::awaitable<bool> ReadKind(std::string aKind, StoreView& aView);
   boost::asio::awaitable<bool> ReadChanges();
--- a/include/gooseberrylift/internal/gooseberrylift-headline-words.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store-status-exchange.h
@@ -1,7 +1,7 @@
 // Asks other hosts what they know of the store, and tells those that ask.
 
-#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
-#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
+#ifndef GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
+#define GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -23,7 +23,7 @@
 // Each round a few hosts, drawn anew. In datagrams, since a call needs a
 // connection and HTTP on either side, and a lost question is as good as
 // answered by the next one. All of it runs on one executor.
-class HeadlineWords
+class StoreStatusExchange
 {
 public:
   struct Parts
@@ -31,14 +31,14 @@
     boost::asio::any_io_executor executor_;
     PeerDatagrams& datagrams_;
     // Draws the hosts to ask in a round.
-    std::function<std::vector<PeerMember>()> draw_;
+    std::function<std::vector<PeerMember>()> samplePeers_;
     std::function<StoreStatus()> own_;
     // Takes another host's headline; with the time of the question where it
     // came with the answer to one.
     std::function<void(const PeerMember& aPeer,
                        const StoreStatus& aHeadline,
                        std::optional<BootTime> aAsked)>
-      take_;
+      onReceived_;
   };
 
   struct Options
@@ -49,13 +49,13 @@
     std::chrono::milliseconds answerWithin_{ 1'000 };
   };
 
-  HeadlineWords(Parts aParts, Options aOptions);
+  StoreStatusExchange(Parts aParts, Options aOptions);
 
   /// Begins to ask and to answer.
   void Start();
 
   /// Asks at once, for news that others should see soon.
-  void AskNow() { Ask(); }
+  void SendRequestNow() { Ask(); }
 
 private:
   void Ask();
@@ -72,4 +72,4 @@
 
 } // namespace gooseberrylift
 
-#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_HEADLINE_WORDS_H_
+#endif // GOOSEBERRYLIFT_INTERNAL_GOOSEBERRYLIFT_STORE_STATUS_EXCHANGE_H_
--- a/include/gooseberrylift/internal/gooseberrylift-store.h
+++ b/include/gooseberrylift/internal/gooseberrylift-store.h
@@ -58,7 +58,7 @@
   /// store less; for objects that never change. It may miss one that was just
   /// created.
   virtual boost::asio::awaitable<Outcome<StoreObject>>
-  ReadAnyAge(std::string aKind, std::string aName, TimePoint aDeadline)
+  ReadAllowStale(std::string aKind, std::string aName, TimePoint aDeadline)
   {
     co_return co_await Read(std::move(aKind), std::move(aName), aDeadline);
   }
@@ -70,7 +70,7 @@
 
   /// Reads all objects of a kind, at most some seconds out of date where that
   /// costs the store less. Later updates may change them.
-  virtual boost::asio::awaitable<Outcome<StoreList>> ListAnyAge(
+  virtual boost::asio::awaitable<Outcome<StoreList>> ListAllowStale(
     std::string aKind,
     TimePoint aDeadline)
   {
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-load.h
@@ -138,7 +138,7 @@
     TimePoint aNow) const;
 
   /// Records that an endpoint sent data.
-  void OnHeard(const std::string& aEndpoint, TimePoint aNow);
+  void OnDataReceived(const std::string& aEndpoint, TimePoint aNow);
 
 private:
   struct SentRequest
--- a/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
+++ b/include/gooseberrylift/routing/gooseberrylift-fleet-placement.h
@@ -48,7 +48,8 @@
   // if the whole prompt is stored at the endpoint.
   std::uint64_t reservedTokens_ = 0;
   std::chrono::microseconds firstAnswer_{ 0 }; // predicted, from now
-  bool long_ = false; // its prefill delays requests that decode beside it
+  bool slowsDecoding_ =
+    false; // its prefill delays requests that decode beside it
   // Predicted to miss its objective at every engine; it yields to requests that
   // can still meet theirs.
   bool deferred_ = false;
--- a/src/clients/gooseberrylift-encoding.cc
+++ b/src/clients/gooseberrylift-encoding.cc
@@ -60,7 +60,7 @@
   return bytes;
 }
 
-std::string DigestOf(std::initializer_list<std::string_view> aParts)
+std::string ComputeDigest(std::initializer_list<std::string_view> aParts)
 {
   const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(
     EVP_MD_CTX_new(), &EVP_MD_CTX_free);
@@ -108,7 +108,7 @@
   return EncodeBase64(bytes);
 }
 
-std::string PackText(const std::string& aText)
+std::string CompressToBase64(const std::string& aText)
 {
   std::string packed(ZSTD_compressBound(aText.size()), '\0');
   const std::size_t size = ZSTD_compress(
@@ -117,7 +117,7 @@
   return EncodeBase64(packed);
 }
 
-std::optional<std::string> UnpackText(const std::string& aText)
+std::optional<std::string> DecompressFromBase64(const std::string& aText)
 {
   const auto packed = DecodeBase64(aText);
   if (!packed) {
--- a/src/clients/gooseberrylift-job-store.cc
+++ b/src/clients/gooseberrylift-job-store.cc
@@ -74,7 +74,7 @@
                                                   std::string aRequest,
                                                   TimePoint aDeadline)
 {
-  std::string text = PackText(aRequest);
+  std::string text = CompressToBase64(aRequest);
   const bool isShort = text.size() <= kInlineBytes;
   if (isShort) {
     aJob.record_.request_ = text;
@@ -169,7 +169,7 @@
     }
     text += chunk.value().spec_.value("text", "");
   }
-  auto decoded = UnpackText(text);
+  auto decoded = DecompressFromBase64(text);
   if (!decoded) {
     co_return Error{ .code_ = ResultCode::kInternal,
                      .text_ = "the stored text can't be decoded" };
@@ -199,7 +199,7 @@
                                                            std::string aResult,
                                                            TimePoint aDeadline)
 {
-  std::string text = PackText(aResult);
+  std::string text = CompressToBase64(aResult);
   if (text.size() <= kInlineBytes) {
     aJob.record_.result_ = std::move(text);
     co_return aJob;
--- a/src/clients/gooseberrylift-load-words.cc
+++ b/src/clients/gooseberrylift-load-exchange.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-load-words.h"
+#include "gooseberrylift/internal/gooseberrylift-load-exchange.h"
 
 #include <algorithm>
 
@@ -41,7 +41,7 @@
 
 } // namespace
 
-LoadWords::LoadWords(Parts aParts, Options aOptions)
+LoadExchange::LoadExchange(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , pace_(options_.pace_)
@@ -55,14 +55,15 @@
     });
 }
 
-void LoadWords::Start()
+void LoadExchange::Start()
 {
   repeat_ =
     TimerService::Every(kRepeatCheck, parts_.executor_, [this] { Repeat(); });
 }
 
-void LoadWords::OnPlaced(const std::vector<ListedEndpoint>& aEndpoints,
-                         bool aUrgent)
+void LoadExchange::OnRequestPlaced(
+  const std::vector<ListedEndpoint>& aEndpoints,
+  bool aUrgent)
 {
   if (!parts_.datagrams_.IsOpen()) {
     return;
@@ -77,7 +78,7 @@
   Send({ .host_ = options_.host_,
          .sequence_ = ++sequence_,
          .kind_ = LoadMessageKind::kDelta,
-         .shares_ = parts_.ownAt_(aEndpoints) },
+         .shares_ = parts_.ownSharesAt_(aEndpoints) },
        near_);
   told_ = true;
   if (aUrgent) {
@@ -85,7 +86,7 @@
   }
 }
 
-void LoadWords::SendWholeSoon()
+void LoadExchange::SendWholeSoon()
 {
   if (!parts_.datagrams_.IsOpen() || armed_) {
     return;
@@ -96,21 +97,21 @@
   SpawnTask(parts_.executor_, SendAt(due));
 }
 
-asio::awaitable<void> LoadWords::SendAt(TimePoint aWhen)
+asio::awaitable<void> LoadExchange::SendAt(TimePoint aWhen)
 {
   co_await TimerService::SleepUntil(aWhen);
   armed_ = false;
   SendWhole();
 }
 
-void LoadWords::Repeat()
+void LoadExchange::Repeat()
 {
   if (told_ && pace_.IsRepeatDue(TimerService::Now(), near_.size())) {
     SendWhole();
   }
 }
 
-void LoadWords::SendWhole()
+void LoadExchange::SendWhole()
 {
   if (!parts_.datagrams_.IsOpen()) {
     return;
@@ -123,15 +124,15 @@
   pace_.OnSnapshotSent(TimerService::Now());
 }
 
-void LoadWords::Send(const LoadMessage& aWord,
-                     const std::vector<PeerAddress>& aTo)
+void LoadExchange::Send(const LoadMessage& aWord,
+                        const std::vector<PeerAddress>& aTo)
 {
   for (const std::string& datagram : EncodeLoadMessage(aWord)) {
     parts_.datagrams_.Send(PeerTopic::kLoad, datagram, aTo);
   }
 }
 
-void LoadWords::SetPeers(const LoadMessagePeers& aPeers)
+void LoadExchange::SetPeers(const LoadMessagePeers& aPeers)
 {
   near_ = PeerAddressesOf(aPeers.near_);
   successors_ = PeerAddressesOf(aPeers.successors_);
@@ -150,7 +151,7 @@
   }
 }
 
-void LoadWords::TellZone()
+void LoadExchange::TellZone()
 {
   const TimePoint now = TimerService::Now();
   const bool sums = parts_.datagrams_.IsOpen() && !far_.empty() &&
@@ -158,14 +159,14 @@
   if (sums != sums_) {
     sums_ = sums;
     zoneAggregator_.Restart();
-    Log(LogEvent::kZoneSummed,
+    Log(LogEvent::kZoneAggregatorChanged,
         { { "sums", sums }, { "zone", options_.zone_ }, { "rank", rank_ } });
   }
   if (!sums) {
     return;
   }
   summed_ = now;
-  const auto word = zoneAggregator_.NextMessage(parts_.zoneSums_(), now);
+  const auto word = zoneAggregator_.NextMessage(parts_.zoneTotals_(), now);
   if (!word) {
     return;
   }
@@ -184,15 +185,15 @@
   } while (begin != word->shares_.end());
 }
 
-void LoadWords::TellZoneSoon()
+void LoadExchange::TellZoneSoon()
 {
   if (sums_ && TimerService::Now() - summed_ >= options_.leastBetweenSums_) {
     TellZone();
   }
 }
 
-void LoadWords::SendToZones(LoadMessageKind aPart,
-                            std::vector<EndpointShare> aShares)
+void LoadExchange::SendToZones(LoadMessageKind aPart,
+                               std::vector<EndpointShare> aShares)
 {
   LoadMessage word{ .host_ = options_.host_,
                     .sequence_ = ++sequence_,
@@ -206,19 +207,19 @@
   }
 }
 
-void LoadWords::PassOn(LoadMessage aWord)
+void LoadExchange::PassOn(LoadMessage aWord)
 {
   aWord.relayToZone_ = false;
   Send(aWord, near_);
 }
 
-void LoadWords::TakeIn(std::string_view aBytes)
+void LoadExchange::TakeIn(std::string_view aBytes)
 {
   const auto word = DecodeLoadMessage(aBytes);
   if (!word) {
     return;
   }
-  parts_.take_(*word);
+  parts_.onReceived_(*word);
   if (word->zone_ == options_.zone_) {
     turn_.OnAggregateReceived(TimerService::Now());
   } else if (word->relayToZone_) {
--- a/src/clients/gooseberrylift-peer-rpc.cc
+++ b/src/clients/gooseberrylift-peer-rpc.cc
@@ -161,7 +161,7 @@
   co_return answer.at("result");
 }
 
-bool PeerRpc::IsCall(const HttpRequest& aRequest)
+bool PeerRpc::IsRpcRequest(const HttpRequest& aRequest)
 {
   return aRequest.method_ == "POST" && aRequest.Path() == kPath;
 }
@@ -169,7 +169,7 @@
 asio::awaitable<void> PeerRpc::Handle(HttpExchange& aExchange)
 {
   const HttpRequest& request = aExchange.Request();
-  if (!IsCall(request)) {
+  if (!IsRpcRequest(request)) {
     co_await aExchange.Send(
       ErrorResponse(MakeError(ResultCode::kUnknownRoute), {}));
     co_return;
--- a/src/clients/gooseberrylift-headline-words.cc
+++ b/src/clients/gooseberrylift-store-status-exchange.cc
@@ -1,10 +1,10 @@
-#include "gooseberrylift/internal/gooseberrylift-headline-words.h"
+#include "gooseberrylift/internal/gooseberrylift-store-status-exchange.h"
 
 #include <utility>
 
 namespace gooseberrylift {
 
-HeadlineWords::HeadlineWords(Parts aParts, Options aOptions)
+StoreStatusExchange::StoreStatusExchange(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , random_(std::random_device{}())
@@ -16,7 +16,7 @@
     });
 }
 
-void HeadlineWords::Start()
+void StoreStatusExchange::Start()
 {
   round_ =
     TimerService::Every(options_.round_, parts_.executor_, [this] { Ask(); });
@@ -24,10 +24,10 @@
 
 // Each question has a number of its own, so a recorded answer proves nothing to
 // a later one.
-void HeadlineWords::Ask()
+void StoreStatusExchange::Ask()
 {
   ForgetOld();
-  const std::vector<PeerMember> peers = parts_.draw_();
+  const std::vector<PeerMember> peers = parts_.samplePeers_();
   if (peers.empty()) {
     return;
   }
@@ -45,7 +45,7 @@
                          PeerAddressesOf(addresses));
 }
 
-void HeadlineWords::ForgetOld()
+void StoreStatusExchange::ForgetOld()
 {
   const BootTime now = TimerService::BootNow();
   std::erase_if(asked_, [&](const auto& aAsked) {
@@ -53,7 +53,8 @@
   });
 }
 
-void HeadlineWords::TakeIn(std::string_view aBytes, const PeerAddress& aFrom)
+void StoreStatusExchange::TakeIn(std::string_view aBytes,
+                                 const PeerAddress& aFrom)
 {
   const auto word = DecodeStoreStatusMessage(aBytes);
   if (!word) {
@@ -72,15 +73,15 @@
                                    .storeStatus_ = parts_.own_() };
   parts_.datagrams_.Send(
     PeerTopic::kStore, EncodeStoreStatusMessage(answer), { aFrom });
-  parts_.take_(peer, word->storeStatus_, std::nullopt);
+  parts_.onReceived_(peer, word->storeStatus_, std::nullopt);
 }
 
-void HeadlineWords::TakeInAnswer(const StoreStatusMessage& aWord,
-                                 const PeerMember& aPeer)
+void StoreStatusExchange::TakeInAnswer(const StoreStatusMessage& aWord,
+                                       const PeerMember& aPeer)
 {
   const auto asked = asked_.find(aWord.requestId_);
   if (asked != asked_.end()) {
-    parts_.take_(aPeer, aWord.storeStatus_, asked->second);
+    parts_.onReceived_(aPeer, aWord.storeStatus_, asked->second);
   }
 }
 
--- a/src/core/gooseberrylift-job.cc
+++ b/src/core/gooseberrylift-job.cc
@@ -88,17 +88,17 @@
            { "reason", reason_ } };
 }
 
-bool JobRecord::Claimable(WallTime aNow) const
+bool JobRecord::IsClaimable(WallTime aNow) const
 {
   return MayClaim(state_, leaseUntil_, aNow);
 }
 
-JobBook::JobBook(Options aOptions)
+JobCache::JobCache(Options aOptions)
   : options_(aOptions)
 {
 }
 
-void JobBook::OnJob(const std::string& aId, const JobRecord& aRecord)
+void JobCache::OnUpdated(const std::string& aId, const JobRecord& aRecord)
 {
   jobs_[aId] = { .team_ = aRecord.team_,
                  .state_ = aRecord.state_,
@@ -106,7 +106,7 @@
                  .expires_ = aRecord.expires_ };
 }
 
-std::optional<std::string> JobBook::Pick(
+std::optional<std::string> JobCache::Pick(
   const std::map<std::string, std::string>& aRunning,
   WallTime aNow,
   std::uint64_t aRandom) const
@@ -136,13 +136,13 @@
   return least->second[aRandom % least->second.size()];
 }
 
-std::string JobBook::TeamOf(const std::string& aId) const
+std::string JobCache::TeamOf(const std::string& aId) const
 {
   const auto found = jobs_.find(aId);
   return found == jobs_.end() ? "" : found->second.team_;
 }
 
-std::vector<std::string> JobBook::Expired(WallTime aNow) const
+std::vector<std::string> JobCache::Expired(WallTime aNow) const
 {
   std::vector<std::string> expired;
   for (const auto& [id, view] : jobs_) {
@@ -153,7 +153,7 @@
   return expired;
 }
 
-bool JobBook::HasRoom(const std::string& aTeam) const
+bool JobCache::CanAddJob(const std::string& aTeam) const
 {
   const auto waiting =
     std::count_if(jobs_.begin(), jobs_.end(), [&aTeam](const auto& aEntry) {
--- a/src/core/gooseberrylift-once-bucket.cc
+++ b/src/core/gooseberrylift-once-bucket.cc
@@ -30,7 +30,7 @@
 {
   json body = { { "d", aRecord.digest_ },
                 { "s", static_cast<int>(aRecord.state_) },
-                { "u", MillisecondsOf(aRecord.until_) } };
+                { "u", MillisecondsOf(aRecord.leaseUntil_) } };
   if (!aRecord.nonce_.empty()) {
     body["n"] = aRecord.nonce_;
   }
@@ -40,36 +40,40 @@
   return body;
 }
 
-// A record that can't be read stands as kLost: its call may have run.
+// A record that can't be read stands as kOutcomeUnknown: its call may have run.
 OnceRecord RecordOf(const json& aBody)
 {
-  const int state = aBody.value("s", static_cast<int>(OnceState::kLost));
+  const int state =
+    aBody.value("s", static_cast<int>(OnceState::kOutcomeUnknown));
   return { .digest_ = aBody.value("d", ""),
            .nonce_ = aBody.value("n", ""),
-           .state_ = state >= 0 && state <= static_cast<int>(OnceState::kLost)
-                       ? static_cast<OnceState>(state)
-                       : OnceState::kLost,
-           .until_ = WallTime(
+           .state_ =
+             state >= 0 && state <= static_cast<int>(OnceState::kOutcomeUnknown)
+               ? static_cast<OnceState>(state)
+               : OnceState::kOutcomeUnknown,
+           .leaseUntil_ = WallTime(
              std::chrono::milliseconds(aBody.value("u", std::int64_t{ 0 }))),
            .result_ = aBody.value("r", "") };
 }
 
-OnceDecision DecisionOf(const OnceRecord& aRecord, WallTime aNow)
+OnceBeginResult DecisionOf(const OnceRecord& aRecord, WallTime aNow)
 {
   switch (aRecord.state_) {
     case OnceState::kDone:
-      return { .verdict_ = aRecord.result_.empty() ? OnceVerdict::kResultDropped
-                                                   : OnceVerdict::kReplay,
+      return { .beginStatus_ = aRecord.result_.empty()
+                                 ? OnceBeginStatus::kResultDropped
+                                 : OnceBeginStatus::kReplay,
                .result_ = aRecord.result_ };
     case OnceState::kIntent:
       // The owner may have dispatched and died, so nobody else may: past its
       // lease an intent is as good as lost, but is never given away again.
-      return { .verdict_ = aNow < aRecord.until_ ? OnceVerdict::kPending
-                                                 : OnceVerdict::kUnknown };
-    case OnceState::kLost:
+      return { .beginStatus_ = aNow < aRecord.leaseUntil_
+                                 ? OnceBeginStatus::kPending
+                                 : OnceBeginStatus::kUnknown };
+    case OnceState::kOutcomeUnknown:
       break;
   }
-  return { .verdict_ = OnceVerdict::kUnknown };
+  return { .beginStatus_ = OnceBeginStatus::kUnknown };
 }
 
 } // namespace
@@ -100,34 +104,34 @@
   return spec;
 }
 
-OnceDecision OnceBucket::Begin(const OnceIntent& aIntent, WallTime aNow)
+OnceBeginResult OnceBucket::Begin(const OnceIntent& aIntent, WallTime aNow)
 {
   const auto found = records_.find(aIntent.key_);
   if (found != records_.end()) {
     if (found->second.nonce_ == aIntent.nonce_ &&
         found->second.state_ == OnceState::kIntent) {
       // The write whose answer was lost has taken effect.
-      return { .verdict_ = OnceVerdict::kBegun };
+      return { .beginStatus_ = OnceBeginStatus::kBegun };
     }
     if (found->second.digest_ != aIntent.digest_) {
-      return { .verdict_ = OnceVerdict::kOtherRequest };
+      return { .beginStatus_ = OnceBeginStatus::kKeyReused };
     }
     return DecisionOf(found->second, aNow);
   }
   OnceRecord record{ .digest_ = aIntent.digest_,
                      .nonce_ = aIntent.nonce_,
-                     .until_ = aIntent.until_ };
+                     .leaseUntil_ = aIntent.leaseUntil_ };
   // Results make room first. A record never does before its retention is over,
   // since a call sent again would then run twice.
   while (bytes_ + BytesOf(aIntent.key_, record) > options_.maxBytes_) {
     const std::size_t before = bytes_;
     DropOldestResult();
     if (bytes_ == before) {
-      return { .verdict_ = OnceVerdict::kFull };
+      return { .beginStatus_ = OnceBeginStatus::kBucketFull };
     }
   }
   Put(aIntent.key_, std::move(record));
-  return { .verdict_ = OnceVerdict::kBegun, .changed_ = true };
+  return { .beginStatus_ = OnceBeginStatus::kBegun, .changed_ = true };
 }
 
 bool OnceBucket::Finish(const std::string& aKey,
@@ -146,7 +150,7 @@
   }
   record.state_ = aState;
   record.nonce_.clear(); // nobody owns it any more
-  record.until_ = aNow;
+  record.leaseUntil_ = aNow;
   record.result_ = std::move(aResult);
   Put(aKey, std::move(record));
   while (bytes_ > options_.maxBytes_) {
@@ -174,7 +178,7 @@
 {
   const std::size_t before = records_.size();
   for (auto at = records_.begin(); at != records_.end();) {
-    const bool over = at->second.until_ + options_.retention_ <= aNow;
+    const bool over = at->second.leaseUntil_ + options_.retention_ <= aNow;
     at = over ? Erase(at) : std::next(at);
   }
   return records_.size() != before;
@@ -208,7 +212,7 @@
   for (auto at = records_.begin(); at != records_.end(); ++at) {
     if (!at->second.result_.empty() &&
         (oldest == records_.end() ||
-         at->second.until_ < oldest->second.until_)) {
+         at->second.leaseUntil_ < oldest->second.leaseUntil_)) {
       oldest = at;
     }
   }
--- a/src/core/gooseberrylift-once-committer.cc
+++ b/src/core/gooseberrylift-once-committer.cc
@@ -9,10 +9,10 @@
 namespace {
 
 // Done is for good, so it needs no look at a fresher copy.
-bool IsFinal(OnceVerdict aVerdict)
+bool IsFinal(OnceBeginStatus aVerdict)
 {
-  return aVerdict == OnceVerdict::kReplay ||
-         aVerdict == OnceVerdict::kResultDropped;
+  return aVerdict == OnceBeginStatus::kReplay ||
+         aVerdict == OnceBeginStatus::kResultDropped;
 }
 
 } // namespace
@@ -31,7 +31,8 @@
   return lastId_;
 }
 
-std::optional<OnceIo> OnceCommitter::NextIo(TimePoint aNow, WallTime aWall)
+std::optional<OnceStoreCall> OnceCommitter::NextStoreCall(TimePoint aNow,
+                                                          WallTime aWall)
 {
   OnTick(aNow);
   if (inFlight_ || aNow < retryAt_) {
@@ -41,10 +42,11 @@
     const bool changed = known_ && FillBatch(aWall);
     if (changed) {
       inFlight_ = true;
-      return OnceIo{ .kind_ = version_.empty() ? OnceIoKind::kCreate
-                                               : OnceIoKind::kUpdate,
-                     .version_ = version_,
-                     .spec_ = candidate_.Spec() };
+      return OnceStoreCall{ .kind_ = version_.empty()
+                                       ? OnceStoreCallKind::kCreate
+                                       : OnceStoreCallKind::kUpdate,
+                            .version_ = version_,
+                            .spec_ = candidate_.Spec() };
     }
     // Nothing to write. What was decided holds if the copy is younger than the
     // question; a stale copy may show an intent that was released since.
@@ -52,13 +54,13 @@
       known_ &&
       std::all_of(batch_.begin(), batch_.end(), [this](const Entry& aEntry) {
         return aEntry.op_.id_ <= readStamp_ ||
-               IsFinal(aEntry.decision_.verdict_);
+               IsFinal(aEntry.beginResult_.beginStatus_);
       });
     if (!fresh) {
       PutBack(aNow);
       inFlight_ = true;
       readStamp_ = lastId_;
-      return OnceIo{ .kind_ = OnceIoKind::kRead };
+      return OnceStoreCall{ .kind_ = OnceStoreCallKind::kRead };
     }
     for (const Entry& entry : batch_) {
       Reply(entry);
@@ -71,7 +73,7 @@
 bool OnceCommitter::AnyDue(TimePoint aNow) const
 {
   return std::any_of(queue_.begin(), queue_.end(), [aNow](const Entry& aEntry) {
-    return aEntry.op_.writeAt_ <= aNow;
+    return aEntry.op_.flushAt_ <= aNow;
   });
 }
 
@@ -97,8 +99,8 @@
   OnceOp& op = aEntry.op_;
   switch (op.kind_) {
     case OnceOpKind::kBegin:
-      aEntry.decision_ = aBucket.Begin(op.intent_, aWall);
-      return aEntry.decision_.changed_;
+      aEntry.beginResult_ = aBucket.Begin(op.intent_, aWall);
+      return aEntry.beginResult_.changed_;
     case OnceOpKind::kFinish:
       return aBucket.Finish(
         op.intent_.key_, op.intent_.nonce_, op.state_, op.result_, aWall);
@@ -121,7 +123,7 @@
   bucket_ = OnceBucket::Parse(aSpec, options_.bucket_);
 }
 
-void OnceCommitter::OnAbsent()
+void OnceCommitter::OnNotFound()
 {
   OnRead({}, nlohmann::json::object());
 }
@@ -227,7 +229,7 @@
   if (!aEntry.refused_) {
     replies_.push_back({ .id_ = aEntry.op_.id_,
                          .committed_ = true,
-                         .decision_ = aEntry.decision_ });
+                         .beginResult_ = aEntry.beginResult_ });
   }
 }
 
@@ -245,16 +247,16 @@
   return std::exchange(replies_, {});
 }
 
-std::optional<TimePoint> OnceCommitter::WakeAt() const
+std::optional<TimePoint> OnceCommitter::NextWakeTime() const
 {
   if (queue_.empty() || inFlight_) {
     return std::nullopt;
   }
   const auto first = std::min_element(
     queue_.begin(), queue_.end(), [](const Entry& aLeft, const Entry& aRight) {
-      return aLeft.op_.writeAt_ < aRight.op_.writeAt_;
+      return aLeft.op_.flushAt_ < aRight.op_.flushAt_;
     });
-  return std::max(retryAt_, first->op_.writeAt_);
+  return std::max(retryAt_, first->op_.flushAt_);
 }
 
 } // namespace gooseberrylift
--- a/src/core/routing/gooseberrylift-fleet-load.cc
+++ b/src/core/routing/gooseberrylift-fleet-load.cc
@@ -90,7 +90,7 @@
   shares_.erase(aEndpoint);
 }
 
-void FleetLoad::OnHeard(const std::string& aEndpoint, TimePoint aNow)
+void FleetLoad::OnDataReceived(const std::string& aEndpoint, TimePoint aNow)
 {
   const auto found = local_.find(aEndpoint);
   if (found != local_.end()) {
--- a/src/core/routing/gooseberrylift-fleet-placement.cc
+++ b/src/core/routing/gooseberrylift-fleet-placement.cc
@@ -473,7 +473,7 @@
     choice.reservedTokens_ =
       (aTask.totalTokens_ + best.size() - 1) / best.size();
   }
-  choice.long_ = true;
+  choice.slowsDecoding_ = true;
   choice.wait_ = wait + Scaled(penalty, options_.waitPenaltyShare_);
   choice.firstAnswer_ =
     wait + part + profile.PassTime(load.running_ + 1, load.memoryTokens_);
--- a/src/front/gooseberrylift-admin-front.cc
+++ b/src/front/gooseberrylift-admin-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-admin-front.h"
+#include "gooseberrylift/internal/gooseberrylift-admin-api.h"
 
 #include <algorithm>
 
@@ -74,7 +74,7 @@
 
 } // namespace
 
-AdminFront::AdminFront(Parts aParts)
+AdminApi::AdminApi(Parts aParts)
   : parts_(aParts)
 {
   Add("GET", "/healthz", [](HttpExchange& aExchange) -> asio::awaitable<void> {
@@ -97,14 +97,14 @@
       });
 }
 
-void AdminFront::Add(const std::string& aMethod,
-                     const std::string& aPath,
-                     HttpHandler aHandler)
+void AdminApi::Add(const std::string& aMethod,
+                   const std::string& aPath,
+                   HttpHandler aHandler)
 {
   routes_[aPath][aMethod] = std::move(aHandler);
 }
 
-asio::awaitable<void> AdminFront::Handle(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::Handle(HttpExchange& aExchange)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string path(request.Path());
@@ -130,7 +130,7 @@
   co_await route->second(aExchange);
 }
 
-std::string AdminFront::WhyNotReady() const
+std::string AdminApi::WhyNotReady() const
 {
   if (parts_.board_.host_.Read()->draining_) {
     return "draining";
@@ -152,7 +152,7 @@
   return {};
 }
 
-bool AdminFront::IsAllowed(const HttpRequest& aRequest) const
+bool AdminApi::IsAllowed(const HttpRequest& aRequest) const
 {
   if (parts_.settings_.adminKeys_.empty()) {
     return true; // only on the loopback address, as the settings' check sees to
@@ -169,7 +169,7 @@
     });
 }
 
-asio::awaitable<void> AdminFront::HandleReady(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::HandleReady(HttpExchange& aExchange)
 {
   const std::string reason = WhyNotReady();
   const std::string text = reason.empty() ? "ready" : reason;
@@ -177,7 +177,7 @@
     TextResponse(reason.empty() ? 200 : 503, text + "\n"));
 }
 
-std::string AdminFront::StatusText() const
+std::string AdminApi::StatusText() const
 {
   const auto configuration =
     parts_.board_.configuration_.Read()->configuration_;
@@ -209,7 +209,7 @@
   return status.dump();
 }
 
-asio::awaitable<void> AdminFront::HandleStatus(HttpExchange& aExchange)
+asio::awaitable<void> AdminApi::HandleStatus(HttpExchange& aExchange)
 {
   co_await aExchange.Send(JsonResponse(200, StatusText()));
 }
--- a/src/front/gooseberrylift-caller-kept.cc
+++ b/src/front/gooseberrylift-caller-api-stored.cc
@@ -1,13 +1,13 @@
-// The requests of CallerFront whose outcome is kept in the store.
+// The requests of CallerApi whose outcome is kept in the store.
 
-#include "gooseberrylift/internal/gooseberrylift-caller-front.h"
+#include "gooseberrylift/internal/gooseberrylift-caller-api.h"
 #include "gooseberrylift/internal/gooseberrylift-forward-fields.h"
 
 namespace gooseberrylift {
 
 namespace asio = boost::asio;
 
-asio::awaitable<Outcome<void>> CallerFront::HandleJobs(
+asio::awaitable<Outcome<void>> CallerApi::HandleJobs(
   HttpExchange& aExchange,
   const CallerRequest& aRequest)
 {
@@ -15,9 +15,9 @@
     aExchange, aRequest.configuration_, aRequest.team_->name_);
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleOnce(HttpExchange& aExchange,
-                                                       ServiceCall aCall,
-                                                       std::string aKey)
+asio::awaitable<Outcome<void>> CallerApi::HandleOnce(HttpExchange& aExchange,
+                                                     ServiceCall aCall,
+                                                     std::string aKey)
 {
   constexpr std::size_t kMaxKeyBytes = 255;
   if (aKey.size() > kMaxKeyBytes) {
@@ -30,7 +30,7 @@
     co_return answer.error();
   }
   HttpResponse response = std::move(answer.value());
-  response.fields_ = WithoutOwnFields(response.fields_);
+  response.fields_ = WithoutHostFields(response.fields_);
   response.fields_.push_back({ "X-Request-Id", requestId });
   const bool sent = co_await aExchange.Send(std::move(response));
   if (!sent) {
--- a/src/front/gooseberrylift-caller-front.cc
+++ b/src/front/gooseberrylift-caller-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-caller-front.h"
+#include "gooseberrylift/internal/gooseberrylift-caller-api.h"
 
 #include <algorithm>
 #include <charconv>
@@ -123,7 +123,7 @@
 
   // Tokens that came in one piece leave in one write; none waits for the next
   // piece. Those of a piece that turned out faulty stay for the next attempt's.
-  asio::awaitable<bool> OnPause() override
+  asio::awaitable<bool> Flush() override
   {
     if (events_.empty()) {
       co_return true;
@@ -139,7 +139,7 @@
   asio::awaitable<void> Finish()
   {
     events_ += "data: [DONE]\n\n";
-    const bool sent = co_await OnPause();
+    const bool sent = co_await Flush();
     if (sent) {
       co_await exchange_.Finish();
     }
@@ -148,7 +148,7 @@
 private:
   asio::awaitable<bool> Open()
   {
-    if (exchange_.Started()) {
+    if (exchange_.ResponseStarted()) {
       co_return true;
     }
     co_return co_await exchange_.StartStream(EventStreamHead(request_.id_));
@@ -191,12 +191,12 @@
                                       const std::string& aRequestId)
 {
   // A body that only the close ends looks whole wherever it was cut.
-  if (!aCall.EndIsCertain()) {
+  if (!aCall.HasExplicitEnd()) {
     co_return Error{ .code_ = ResultCode::kAnswerEndUnknown,
                      .ran_ = RanState::kYes };
   }
   HttpResponse head{ .status_ = aCall.Head().status_,
-                     .fields_ = WithoutOwnFields(aCall.Head().fields_) };
+                     .fields_ = WithoutHostFields(aCall.Head().fields_) };
   head.fields_.push_back({ "X-Request-Id", aRequestId });
   while (true) {
     auto piece = co_await aCall.ReadSome();
@@ -206,7 +206,7 @@
     if (!piece.value()) {
       break;
     }
-    if (aExchange.Started()) {
+    if (aExchange.ResponseStarted()) {
       const bool written = co_await aExchange.Write(*piece.value());
       if (!written) {
         co_return Error{ .code_ = ResultCode::kCallerLeft,
@@ -222,7 +222,7 @@
     }
   }
   bool sent = false;
-  if (aExchange.Started()) {
+  if (aExchange.ResponseStarted()) {
     sent = co_await aExchange.Finish();
   } else {
     sent = co_await aExchange.Send(std::move(head));
@@ -235,7 +235,7 @@
 
 } // namespace
 
-struct CallerFront::Route
+struct CallerApi::Route
 {
   std::string_view path_;
   bool prefix_;
@@ -243,20 +243,20 @@
   Handler handler_;
 };
 
-const CallerFront::Route CallerFront::kRoutes[] = {
-  { "/v1/chat/completions", false, "POST", &CallerFront::HandleModel },
-  { "/v1/completions", false, "POST", &CallerFront::HandleModel },
-  { kServicesPrefix, true, "", &CallerFront::HandleService },
-  { kJobsPath, false, "", &CallerFront::HandleJobs },
-  { kJobsPrefix, true, "", &CallerFront::HandleJobs },
+const CallerApi::Route CallerApi::kRoutes[] = {
+  { "/v1/chat/completions", false, "POST", &CallerApi::HandleModel },
+  { "/v1/completions", false, "POST", &CallerApi::HandleModel },
+  { kServicesPrefix, true, "", &CallerApi::HandleService },
+  { kJobsPath, false, "", &CallerApi::HandleJobs },
+  { kJobsPrefix, true, "", &CallerApi::HandleJobs },
 };
 
-CallerFront::CallerFront(Parts aParts)
+CallerApi::CallerApi(Parts aParts)
   : parts_(aParts)
 {
 }
 
-asio::awaitable<void> CallerFront::Handle(HttpExchange& aExchange)
+asio::awaitable<void> CallerApi::Handle(HttpExchange& aExchange)
 {
   BurnNote burn;
   CallerRequest request{ .id_ = MakeRequestId(),
@@ -289,8 +289,8 @@
   co_await AnswerFailure(aExchange, request, std::move(error));
 }
 
-asio::awaitable<Outcome<void>> CallerFront::Dispatch(HttpExchange& aExchange,
-                                                     CallerRequest& aRequest)
+asio::awaitable<Outcome<void>> CallerApi::Dispatch(HttpExchange& aExchange,
+                                                   CallerRequest& aRequest)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
@@ -322,7 +322,7 @@
   co_return co_await (this->*route->handler_)(aExchange, aRequest);
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleModel(
+asio::awaitable<Outcome<void>> CallerApi::HandleModel(
   HttpExchange& aExchange,
   const CallerRequest& aRequest)
 {
@@ -379,17 +379,17 @@
     co_return done.error();
   }
   HttpResponse response = JsonResponse(200,
-                                       WholeModelAnswer(model,
-                                                        aRequest.id_,
-                                                        sink.text_,
-                                                        sink.finishReason_,
-                                                        done.value().tokens_));
+                                       MakeModelResponse(model,
+                                                         aRequest.id_,
+                                                         sink.text_,
+                                                         sink.finishReason_,
+                                                         done.value().tokens_));
   response.fields_.push_back({ "X-Request-Id", aRequest.id_ });
   co_await aExchange.Send(std::move(response));
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<Outcome<void>> CallerFront::HandleService(
+asio::awaitable<Outcome<void>> CallerApi::HandleService(
   HttpExchange& aExchange,
   const CallerRequest& aRequest)
 {
@@ -410,7 +410,7 @@
   if (!target.starts_with('/')) {
     target.insert(0, "/");
   }
-  HttpFields fields = WithoutOwnFields(request.fields_);
+  HttpFields fields = WithoutHostFields(request.fields_);
   fields.push_back({ "X-Request-Id", aRequest.id_ });
   fields.push_back({ "X-Team", aRequest.team_->name_ });
   NoteService(aRequest, *service, 0);
@@ -425,11 +425,11 @@
                   .target_ = std::move(target),
                   .fields_ = std::move(fields),
                   .body_ = std::move(request.body_) },
-    .repeatable_ = service->repeatableMethods_.contains(request.method_),
+    .retryable_ = service->repeatableMethods_.contains(request.method_),
   };
   aExchange.SetDeadline(call.info_.deadline_);
   const std::string key(request.Field("Idempotency-Key"));
-  if (!call.repeatable_ && !key.empty()) {
+  if (!call.retryable_ && !key.empty()) {
     co_return co_await HandleOnce(aExchange, std::move(call), key);
   }
   auto answer = co_await parts_.services_.Run(std::move(call));
@@ -445,7 +445,7 @@
   co_return passed;
 }
 
-void CallerFront::RecordBurn(const CallerRequest& aRequest, ResultCode aCode)
+void CallerApi::RecordBurn(const CallerRequest& aRequest, ResultCode aCode)
 {
   if (aRequest.burn_->service_ != nullptr) {
     parts_.burn_.Record(
@@ -453,9 +453,9 @@
   }
 }
 
-asio::awaitable<void> CallerFront::AnswerFailure(HttpExchange& aExchange,
-                                                 const CallerRequest& aRequest,
-                                                 Error aError)
+asio::awaitable<void> CallerApi::AnswerFailure(HttpExchange& aExchange,
+                                               const CallerRequest& aRequest,
+                                               Error aError)
 {
   const int code = static_cast<int>(aError.code_);
   AddRetryAfter(aExchange.Request(), aError);
@@ -473,7 +473,7 @@
   if (aExchange.Reason() == AbortReason::kCallerStalled) {
     co_return;
   }
-  if (!aExchange.Started()) {
+  if (!aExchange.ResponseStarted()) {
     co_await aExchange.Send(ErrorResponse(aError, aRequest.id_));
     co_return;
   }
--- a/src/front/gooseberrylift-config-admin.cc
+++ b/src/front/gooseberrylift-config-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-config-admin.h"
+#include "gooseberrylift/internal/gooseberrylift-config-api.h"
 
 #include <algorithm>
 #include <charconv>
@@ -96,10 +96,10 @@
 
 } // namespace
 
-ConfigAdmin::ConfigAdmin(ObjectStore& aStore,
-                         ConfigFollower& aFollower,
-                         Blackboard& aBoard,
-                         Options aOptions)
+ConfigApi::ConfigApi(ObjectStore& aStore,
+                     ConfigFollower& aFollower,
+                     Blackboard& aBoard,
+                     Options aOptions)
   : store_(aStore)
   , follower_(aFollower)
   , board_(aBoard)
@@ -107,27 +107,29 @@
 {
 }
 
-void ConfigAdmin::AddRoutes(AdminFront& aFront)
+void ConfigApi::AddRoutes(AdminApi& aAdminApi)
 {
-  aFront.Add("GET", "/configuration", [this](HttpExchange& aExchange) {
+  aAdminApi.Add("GET", "/configuration", [this](HttpExchange& aExchange) {
     return HandleShow(aExchange);
   });
-  aFront.Add("POST", "/configuration", [this](HttpExchange& aExchange) {
+  aAdminApi.Add("POST", "/configuration", [this](HttpExchange& aExchange) {
     return HandleApply(aExchange);
   });
-  aFront.Add("GET", "/configuration/history", [this](HttpExchange& aExchange) {
-    return HandleHistory(aExchange);
-  });
-  aFront.Add(
+  aAdminApi.Add(
+    "GET", "/configuration/history", [this](HttpExchange& aExchange) {
+      return HandleHistory(aExchange);
+    });
+  aAdminApi.Add(
     "GET", "/configuration/generation", [this](HttpExchange& aExchange) {
       return HandleGeneration(aExchange);
     });
-  aFront.Add("GET", "/configuration/spread", [this](HttpExchange& aExchange) {
-    return HandleSpread(aExchange);
-  });
+  aAdminApi.Add(
+    "GET", "/configuration/spread", [this](HttpExchange& aExchange) {
+      return HandleSpread(aExchange);
+    });
 }
 
-asio::awaitable<void> ConfigAdmin::HandleShow(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleShow(HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   if (!current) {
@@ -138,15 +140,16 @@
   co_await aExchange.Send(JsonResponse(200, ShowText(*current)));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleApply(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleApply(HttpExchange& aExchange)
 {
   // A change that has begun is carried to its end, so that a command that was
   // cut short leaves a change either refused or in force, not in between.
   aExchange.KeepRunningWithoutCaller();
   const HttpRequest& request = aExchange.Request();
-  const auto accepted = co_await Change(NumberOf(request.Query("base")),
-                                        request.body_,
-                                        std::string(request.Query("author")));
+  const auto accepted =
+    co_await Change(NumberOf(request.QueryParameter("base")),
+                    request.body_,
+                    std::string(request.QueryParameter("author")));
   if (!accepted) {
     co_await aExchange.Send(ErrorResponse(accepted.error(), {}));
     co_return;
@@ -156,7 +159,7 @@
   co_await aExchange.Send(JsonResponse(200, document.dump()));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleHistory(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleHistory(HttpExchange& aExchange)
 {
   const auto main =
     co_await ReadMain(TimerService::Now() + options_.callTimeout_);
@@ -168,9 +171,10 @@
   co_await aExchange.Send(JsonResponse(200, HistoryText(stored)));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleGeneration(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleGeneration(HttpExchange& aExchange)
 {
-  const std::uint64_t number = NumberOf(aExchange.Request().Query("number"));
+  const std::uint64_t number =
+    NumberOf(aExchange.Request().QueryParameter("number"));
   const auto text =
     co_await TextOf(number, TimerService::Now() + options_.callTimeout_);
   if (!text) {
@@ -180,16 +184,16 @@
   co_await aExchange.Send(JsonResponse(200, text.value().dump()));
 }
 
-asio::awaitable<void> ConfigAdmin::HandleSpread(HttpExchange& aExchange)
+asio::awaitable<void> ConfigApi::HandleSpread(HttpExchange& aExchange)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   co_await aExchange.Send(
     JsonResponse(200, SpreadText(board_, current ? current->Generation() : 0)));
 }
 
-asio::awaitable<Outcome<std::uint64_t>> ConfigAdmin::Change(std::uint64_t aBase,
-                                                            std::string aText,
-                                                            std::string aAuthor)
+asio::awaitable<Outcome<std::uint64_t>> ConfigApi::Change(std::uint64_t aBase,
+                                                          std::string aText,
+                                                          std::string aAuthor)
 {
   const TimePoint deadline = TimerService::Now() + options_.timeout_;
   const auto checked = CheckText(aText);
@@ -229,15 +233,15 @@
     co_return written.error();
   }
   Log(LogEvent::kConfigurationAccepted, { { "generation", *generation } });
-  follower_.OfferText(*generation, text, ConfigSource::kOperator);
+  follower_.ApplyTextIfNewer(*generation, text, ConfigSource::kOperator);
   const auto executor = co_await asio::this_coro::executor;
   SpawnTask(executor, DropOldest(*generation, deadline));
   co_return *generation;
 }
 
-asio::awaitable<Outcome<void>> ConfigAdmin::Write(StoreObject aObject,
-                                                  std::string aNonce,
-                                                  TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigApi::Write(StoreObject aObject,
+                                                std::string aNonce,
+                                                TimePoint aDeadline)
 {
   bool mayHaveRun = false;
   const bool create = aObject.version_.empty();
@@ -268,8 +272,8 @@
 // operator who were told "conflict" then would apply the change again, or
 // believe it refused while it comes into force. The nonce in the object's
 // recent changes tells the two apart, also when others have written since.
-asio::awaitable<Outcome<void>> ConfigAdmin::Settle(std::string aNonce,
-                                                   TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigApi::Settle(std::string aNonce,
+                                                 TimePoint aDeadline)
 {
   while (true) {
     const auto main = co_await ReadMain(aDeadline);
@@ -287,7 +291,7 @@
   }
 }
 
-asio::awaitable<Outcome<StoreObject>> ConfigAdmin::ReadMain(TimePoint aDeadline)
+asio::awaitable<Outcome<StoreObject>> ConfigApi::ReadMain(TimePoint aDeadline)
 {
   auto read = co_await store_.Read(
     kConfigurationKind, kConfigurationName, CallDeadline(aDeadline));
@@ -300,8 +304,8 @@
 
 // The text of the generation that is about to be replaced is stored first, so
 // that the history has no gap even when this host dies in between.
-asio::awaitable<Outcome<void>> ConfigAdmin::KeepOld(StoredConfiguration aOld,
-                                                    TimePoint aDeadline)
+asio::awaitable<Outcome<void>> ConfigApi::KeepOld(StoredConfiguration aOld,
+                                                  TimePoint aDeadline)
 {
   if (aOld.generation_ == 0) {
     co_return boost::outcome_v2::success();
@@ -326,8 +330,8 @@
   }
 }
 
-asio::awaitable<void> ConfigAdmin::DropOldest(std::uint64_t aGeneration,
-                                              TimePoint aDeadline)
+asio::awaitable<void> ConfigApi::DropOldest(std::uint64_t aGeneration,
+                                            TimePoint aDeadline)
 {
   if (aGeneration <= StoredConfiguration::kMaxRecentChanges) {
     co_return;
@@ -339,8 +343,8 @@
     CallDeadline(aDeadline));
 }
 
-asio::awaitable<Outcome<json>> ConfigAdmin::TextOf(std::uint64_t aGeneration,
-                                                   TimePoint aDeadline)
+asio::awaitable<Outcome<json>> ConfigApi::TextOf(std::uint64_t aGeneration,
+                                                 TimePoint aDeadline)
 {
   const auto current = board_.configuration_.Read()->configuration_;
   if (current && current->Generation() == aGeneration) {
@@ -367,8 +371,8 @@
   co_return stored.configuration_;
 }
 
-asio::awaitable<Error> ConfigAdmin::Conflict(std::uint64_t aBase,
-                                             TimePoint aDeadline)
+asio::awaitable<Error> ConfigApi::Conflict(std::uint64_t aBase,
+                                           TimePoint aDeadline)
 {
   std::uint64_t newest = HighestKnown();
   const auto main = co_await ReadMain(aDeadline);
@@ -395,7 +399,7 @@
                       text);
 }
 
-std::uint64_t ConfigAdmin::HighestKnown() const
+std::uint64_t ConfigApi::HighestKnown() const
 {
   const auto current = board_.configuration_.Read()->configuration_;
   std::uint64_t highest = current ? current->Generation() : 0;
@@ -405,7 +409,7 @@
   return highest;
 }
 
-TimePoint ConfigAdmin::CallDeadline(TimePoint aDeadline) const
+TimePoint ConfigApi::CallDeadline(TimePoint aDeadline) const
 {
   return std::min(aDeadline, TimerService::Now() + options_.callTimeout_);
 }
--- a/src/front/gooseberrylift-job-front.cc
+++ b/src/front/gooseberrylift-job-api.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-job-front.h"
+#include "gooseberrylift/internal/gooseberrylift-job-api.h"
 
 #include <algorithm>
 
@@ -98,16 +98,16 @@
 
 } // namespace
 
-JobFront::JobFront(ObjectStore& aStore, JobRunner& aRunner, Options aOptions)
+JobApi::JobApi(ObjectStore& aStore, JobRunner& aRunner, Options aOptions)
   : store_(aStore)
   , runner_(aRunner)
   , options_(aOptions)
 {
 }
 
-asio::awaitable<Outcome<void>> JobFront::Handle(HttpExchange& aExchange,
-                                                Configuration::Ptr aConfig,
-                                                std::string aTeam)
+asio::awaitable<Outcome<void>> JobApi::Handle(HttpExchange& aExchange,
+                                              Configuration::Ptr aConfig,
+                                              std::string aTeam)
 {
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
@@ -128,9 +128,9 @@
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Add(HttpRequest aRequest,
-                                                     Configuration::Ptr aConfig,
-                                                     std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Add(HttpRequest aRequest,
+                                                   Configuration::Ptr aConfig,
+                                                   std::string aTeam)
 {
   auto parsed = ReadJobRequest(aRequest, *aConfig);
   if (!parsed) {
@@ -141,19 +141,19 @@
     co_return MakeError(ResultCode::kBadField,
                         "Idempotency-Key: at most 255 bytes");
   }
-  if (!runner_.HasRoom(aTeam)) {
+  if (!runner_.CanAddJob(aTeam)) {
     Error full = MakeError(ResultCode::kJobTeamFull);
     full.retryAfter_ = std::chrono::seconds(10);
     co_return full;
   }
   JobRequest& request = parsed.value();
   StoredJob job;
-  job.id_ =
-    HexOf(key.empty() ? DigestOf({ MakeNonce() }) : DigestOf({ aTeam, key }));
+  job.id_ = HexOf(key.empty() ? ComputeDigest({ MakeNonce() })
+                              : ComputeDigest({ aTeam, key }));
   job.record_.team_ = aTeam;
   job.record_.target_ = request.target_;
   job.record_.digest_ =
-    EncodeBase64(DigestOf({ request.target_, request.text_ }));
+    EncodeBase64(ComputeDigest({ request.target_, request.text_ }));
   job.record_.expires_ = std::chrono::system_clock::now() + options_.keepFor_;
   const auto stored = co_await Store(std::move(job), std::move(request.text_));
   if (!stored) {
@@ -163,8 +163,8 @@
 }
 
 // Stores a job, or finds the one that an earlier try with the key has stored.
-asio::awaitable<Outcome<StoredJob>> JobFront::Store(StoredJob aJob,
-                                                    std::string aText)
+asio::awaitable<Outcome<StoredJob>> JobApi::Store(StoredJob aJob,
+                                                  std::string aText)
 {
   const std::string id = aJob.id_;
   const std::string digest = aJob.record_.digest_;
@@ -197,8 +197,8 @@
 }
 
 // Reads a job of a team; another team's does not exist for it.
-asio::awaitable<Outcome<StoredJob>> JobFront::Find(std::string aId,
-                                                   std::string aTeam)
+asio::awaitable<Outcome<StoredJob>> JobApi::Find(std::string aId,
+                                                 std::string aTeam)
 {
   const bool plain = std::all_of(aId.begin(), aId.end(), [](char aLetter) {
     return std::isxdigit(static_cast<unsigned char>(aLetter)) != 0;
@@ -217,8 +217,8 @@
   co_return job;
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Show(std::string aId,
-                                                      std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Show(std::string aId,
+                                                    std::string aTeam)
 {
   const auto job = co_await Find(std::move(aId), std::move(aTeam));
   if (!job) {
@@ -236,8 +236,8 @@
   co_return ResponseOf(200, view);
 }
 
-asio::awaitable<Outcome<HttpResponse>> JobFront::Remove(std::string aId,
-                                                        std::string aTeam)
+asio::awaitable<Outcome<HttpResponse>> JobApi::Remove(std::string aId,
+                                                      std::string aTeam)
 {
   const auto job = co_await Find(std::move(aId), std::move(aTeam));
   if (!job) {
--- a/src/front/gooseberrylift-log-routes.cc
+++ b/src/front/gooseberrylift-log-routes.cc
@@ -21,7 +21,8 @@
 
 HttpResponse ChangeLevel(const HttpRequest& aRequest)
 {
-  if (!SetLogLevel(aRequest.Query("component"), aRequest.Query("level"))) {
+  if (!SetLogLevel(aRequest.QueryParameter("component"),
+                   aRequest.QueryParameter("level"))) {
     return ErrorResponse(
       MakeError(ResultCode::kBadField,
                 "component and level: a component of GET /log or 'all', and "
@@ -33,13 +34,13 @@
 
 } // namespace
 
-void AddLogRoutes(AdminFront& aFront)
+void AddLogRoutes(AdminApi& aAdminApi)
 {
-  aFront.Add(
+  aAdminApi.Add(
     "GET", "/log", [](HttpExchange& aExchange) -> asio::awaitable<void> {
       co_await aExchange.Send(JsonResponse(200, LevelsText()));
     });
-  aFront.Add(
+  aAdminApi.Add(
     "POST", "/log", [](HttpExchange& aExchange) -> asio::awaitable<void> {
       co_await aExchange.Send(ChangeLevel(aExchange.Request()));
     });
--- a/src/front/gooseberrylift-model-request.cc
+++ b/src/front/gooseberrylift-model-request.cc
@@ -128,11 +128,11 @@
   return request;
 }
 
-std::string WholeModelAnswer(const ModelRequest& aRequest,
-                             const std::string& aRequestId,
-                             const std::string& aText,
-                             const std::string& aFinishReason,
-                             std::uint64_t aTokens)
+std::string MakeModelResponse(const ModelRequest& aRequest,
+                              const std::string& aRequestId,
+                              const std::string& aText,
+                              const std::string& aFinishReason,
+                              std::uint64_t aTokens)
 {
   json choice = { { "index", 0 }, { "finish_reason", aFinishReason } };
   if (aRequest.chat_) {
--- a/src/gateway/gooseberrylift-endpoint-limiter.cc
+++ b/src/gateway/gooseberrylift-endpoint-rate-limiter.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-endpoint-limiter.h"
+#include "gooseberrylift/internal/gooseberrylift-endpoint-rate-limiter.h"
 
 #include <algorithm>
 
@@ -54,7 +54,7 @@
 
 } // namespace
 
-EndpointLimiter::EndpointLimiter(Parts aParts, Options aOptions)
+EndpointRateLimiter::EndpointRateLimiter(Parts aParts, Options aOptions)
   : parts_(std::move(aParts))
   , options_(std::move(aOptions))
   , granter_({ .phase_ = DrawPhase() })
@@ -62,9 +62,9 @@
 {
 }
 
-void EndpointLimiter::OnAnswer(const Incarnation& aEndpoint,
-                               const AdvertisedRateLimit& aNotice,
-                               TimePoint aSent)
+void EndpointRateLimiter::OnAnswer(const Incarnation& aEndpoint,
+                                   const AdvertisedRateLimit& aNotice,
+                                   TimePoint aSent)
 {
   std::optional<EndpointRate> changed;
   {
@@ -73,11 +73,11 @@
   }
   if (changed) {
     OnChanged(*changed, "answer");
-    parts_.tell_();
+    parts_.notifyPeers_();
   }
 }
 
-void EndpointLimiter::OnPeer(const std::vector<EndpointRate>& aEntries)
+void EndpointRateLimiter::OnPeer(const std::vector<EndpointRate>& aEntries)
 {
   if (aEntries.empty()) {
     return;
@@ -92,7 +92,8 @@
   }
 }
 
-void EndpointLimiter::OnChanged(const EndpointRate& aRate, const char* aSource)
+void EndpointRateLimiter::OnChanged(const EndpointRate& aRate,
+                                    const char* aSource)
 {
   LogRate(aRate, aSource);
   if (!aRate.perSecond_) {
@@ -102,9 +103,9 @@
   }
 }
 
-void EndpointLimiter::SetPeers(const std::vector<Digest>& aLive,
-                               std::size_t aKnown,
-                               bool aLeaves)
+void EndpointRateLimiter::SetPeers(const std::vector<Digest>& aLive,
+                                   std::size_t aKnown,
+                                   bool aLeaves)
 {
   const bool small = aKnown < PeerTable::kSmallFleet;
   std::map<std::string, std::vector<PeerMember>> hosts;
@@ -125,19 +126,19 @@
   scope_ = scope;
 }
 
-std::vector<EndpointRate> EndpointLimiter::Entries()
+std::vector<EndpointRate> EndpointRateLimiter::Entries()
 {
   const std::lock_guard lock(mutex_);
   return rates_.Entries();
 }
 
-std::optional<double> EndpointLimiter::Of(const Incarnation& aEndpoint)
+std::optional<double> EndpointRateLimiter::Of(const Incarnation& aEndpoint)
 {
   const std::lock_guard lock(mutex_);
   return rates_.Of(aEndpoint);
 }
 
-LimitedEndpoints EndpointLimiter::Judge(
+LimitedEndpoints EndpointRateLimiter::CheckPermits(
   const std::vector<ListedEndpoint>& aCandidates)
 {
   const TimePoint now = TimerService::Now();
@@ -174,7 +175,7 @@
   return limited;
 }
 
-bool EndpointLimiter::Take(const Incarnation& aEndpoint)
+bool EndpointRateLimiter::Take(const Incarnation& aEndpoint)
 {
   {
     const std::lock_guard lock(mutex_);
@@ -190,7 +191,7 @@
   return true;
 }
 
-milliseconds EndpointLimiter::TimeUntilPermit(
+milliseconds EndpointRateLimiter::TimeUntilPermit(
   const std::vector<ListedEndpoint>& aEndpoints)
 {
   const TimePoint now = TimerService::Now();
@@ -204,7 +205,7 @@
 }
 
 // With the mutex locked.
-EndpointLimiter::Granter EndpointLimiter::GranterFor(
+EndpointRateLimiter::Granter EndpointRateLimiter::GranterFor(
   const Incarnation& aEndpoint)
 {
   std::vector<std::string> zones;
@@ -233,7 +234,7 @@
     });
 }
 
-asio::awaitable<void> EndpointLimiter::RequestPermits(EndpointRate aRate)
+asio::awaitable<void> EndpointRateLimiter::RequestPermits(EndpointRate aRate)
 {
   const Incarnation endpoint = aRate.endpoint_;
   Granter granter;
@@ -257,8 +258,8 @@
 }
 
 // Asks the granting host; one that does not grant names the one that does.
-asio::awaitable<Outcome<json>> EndpointLimiter::AskPeers(EndpointRate aRate,
-                                                         Granter aGranter)
+asio::awaitable<Outcome<json>> EndpointRateLimiter::AskPeers(EndpointRate aRate,
+                                                             Granter aGranter)
 {
   const TimePoint deadline = TimerService::Now() + options_.askTimeout_;
   auto answer = co_await parts_.call_(aGranter, MakeQuestion(aRate), deadline);
@@ -270,7 +271,8 @@
   co_return co_await parts_.call_(aGranter, MakeQuestion(aRate), deadline);
 }
 
-void EndpointLimiter::TakeIn(const Incarnation& aEndpoint, const json& aAnswer)
+void EndpointRateLimiter::TakeIn(const Incarnation& aEndpoint,
+                                 const json& aAnswer)
 {
   RateGrant verdict;
   std::vector<EndpointRate> rates;
@@ -293,7 +295,7 @@
 }
 
 // With the mutex locked.
-RateGrant EndpointLimiter::Grant(const EndpointRate& aRate)
+RateGrant EndpointRateLimiter::Grant(const EndpointRate& aRate)
 {
   const auto known = rates_.Find(aRate.endpoint_);
   const auto rate = known ? known->perSecond_ : aRate.perSecond_;
@@ -304,7 +306,7 @@
     aRate.endpoint_, *rate, granters_, TimerService::Now());
 }
 
-json EndpointLimiter::Answer(const json& aParams)
+json EndpointRateLimiter::Answer(const json& aParams)
 {
   std::vector<EndpointRate> rates;
   try {
@@ -336,7 +338,7 @@
   return answer;
 }
 
-void EndpointLimiter::Sweep()
+void EndpointRateLimiter::Sweep()
 {
   const TimePoint now = TimerService::Now();
   const std::lock_guard lock(mutex_);
--- a/src/gateway/gooseberrylift-fleet.cc
+++ b/src/gateway/gooseberrylift-fleet.cc
@@ -69,7 +69,7 @@
 // stands idle.
 void Fleet::ForgetFormerLife(const ListedEndpoint& aReborn)
 {
-  Log(LogEvent::kEndpointReborn,
+  Log(LogEvent::kEndpointRestarted,
       { { "endpoint", aReborn.id_ },
         { "born_ms", aReborn.startTime_.time_since_epoch().count() } });
   if (options_.onReborn_) {
@@ -108,7 +108,7 @@
 {
   const std::lock_guard lock(directoryMutex_);
   directory_.Sweep(TimerService::Now());
-  if (!aQuery.figures_) {
+  if (!aQuery.engineProfile_) {
     // Hosts with equal views would all take the first.
     return std::make_shared<std::vector<ListedEndpoint>>(
       ShuffleEndpoints(Usable(aQuery.service_), aQuery.draw_));
@@ -128,7 +128,7 @@
   aQuery.request_.draw_ = aQuery.draw_;
   const Endpoints ordered = Ordered(aQuery);
   const std::vector<ListedEndpoint>& endpoints = *ordered;
-  const LimitedEndpoints limited = options_.limiter_.Judge(endpoints);
+  const LimitedEndpoints limited = options_.limiter_.CheckPermits(endpoints);
   const TimePoint now = TimerService::Now();
   Shard& shard = ShardOf(aQuery.service_);
   const std::lock_guard lock(shard.mutex_);
@@ -147,10 +147,10 @@
                            .limited_ = limited.permitted_.contains(id) });
   }
   std::optional<PlacementChoice> choice;
-  if (aQuery.figures_) {
+  if (aQuery.engineProfile_) {
     const EnginePlacement placement{ EnginePlacement::Options{} };
     choice = placement.Choose(
-      *aQuery.figures_, aQuery.gaps_, candidates, aQuery.request_);
+      *aQuery.engineProfile_, aQuery.gaps_, candidates, aQuery.request_);
   } else {
     choice =
       ServicePlacement().Choose(shard.usual_, candidates, aQuery.request_);
@@ -162,7 +162,7 @@
                          .reservedTokens_ = choice->reservedTokens_,
                          .firstAnswer_ = choice->firstAnswer_,
                          .wait_ = choice->wait_,
-                         .long_ = choice->long_,
+                         .slowsDecoding_ = choice->slowsDecoding_,
                          .deferred_ = choice->deferred_,
                          .peerLoadUnknown_ = aQuery.request_.peerLoadUnknown_,
                          .load_ = shard.load_.Of(choice->endpoint_->id_, now),
@@ -176,7 +176,7 @@
   return placed;
 }
 
-bool Fleet::Claim(const FleetPlacement& aPlacement)
+bool Fleet::TryUsePermit(const FleetPlacement& aPlacement)
 {
   // Helpers are never limited ones.
   return options_.limiter_.Take(aPlacement.endpoint_.IncarnationId());
@@ -230,8 +230,8 @@
   return directory_.Usable(aService).size();
 }
 
-bool Fleet::HasOther(const std::string& aService,
-                     const std::set<std::string>& aTried)
+bool Fleet::HasUntriedEndpoint(const std::string& aService,
+                               const std::set<std::string>& aTried)
 {
   const std::lock_guard lock(directoryMutex_);
   const auto usable = directory_.Usable(aService);
@@ -357,9 +357,9 @@
   }
 }
 
-Fleet::Use::Use(Fleet& aFleet,
-                const FleetQuery& aQuery,
-                FleetPlacement aPlacement)
+Fleet::ActiveRequest::ActiveRequest(Fleet& aFleet,
+                                    const FleetQuery& aQuery,
+                                    FleetPlacement aPlacement)
   : fleet_(aFleet)
   , id_(aQuery.id_)
   , service_(aQuery.service_)
@@ -375,12 +375,12 @@
   }
 }
 
-Fleet::Use::~Use()
+Fleet::ActiveRequest::~ActiveRequest()
 {
   Release();
 }
 
-void Fleet::Use::OnHeard(bool aFirst)
+void Fleet::ActiveRequest::OnDataReceived(bool aFirst)
 {
   const TimePoint now = TimerService::Now();
   begun_ = begun_ || aFirst;
@@ -388,7 +388,7 @@
   Shard& shard = fleet_.ShardOf(service_);
   const std::lock_guard lock(shard.mutex_);
   if (!aFirst) {
-    shard.load_.OnHeard(placement_.endpoint_.id_, now);
+    shard.load_.OnDataReceived(placement_.endpoint_.id_, now);
     return;
   }
   shard.load_.OnStarted(placement_.endpoint_.id_, id_, now);
@@ -397,7 +397,7 @@
   }
 }
 
-EndpointActivity Fleet::Use::Signs() const
+EndpointActivity Fleet::ActiveRequest::CurrentActivity() const
 {
   const TimePoint now = TimerService::Now();
   Shard& shard = fleet_.ShardOf(service_);
@@ -414,7 +414,7 @@
            .slots_ = placement_.endpoint_.slots_ };
 }
 
-void Fleet::Use::End(EndpointOutcome aOutcome)
+void Fleet::ActiveRequest::End(EndpointOutcome aOutcome)
 {
   const TimePoint now = TimerService::Now();
   Shard& shard = fleet_.ShardOf(service_);
@@ -432,7 +432,7 @@
   Release();
 }
 
-void Fleet::Use::Release()
+void Fleet::ActiveRequest::Release()
 {
   if (ended_) {
     return;
--- a/src/gateway/gooseberrylift-gateway-front.cc
+++ b/src/gateway/gooseberrylift-gateway-front.cc
@@ -54,7 +54,7 @@
 }
 
 Outcome<RoutedRequest> GatewayFront::Resolve(const HttpRequest& aRequest,
-                                             CallerFacts aFacts,
+                                             CallerRequestMetadata aFacts,
                                              TimePoint aArrived)
 {
   RoutedRequest request{ .id_ = ++nextId_,
@@ -71,7 +71,7 @@
   request.priority_ = request.route_->priority_;
   if (request.table_->NeedsKeys() && !request.route_->public_) {
     // Before a key is judged, it must be sure that the keys are the newest.
-    if (!parts_.run_.routes_.KeysAreProven()) {
+    if (!parts_.run_.routes_.AreKeysProven()) {
       Error error = MakeError(ResultCode::kFreshnessLost);
       error.retryAfter_ = kUntilConfigured;
       return error;
@@ -90,7 +90,7 @@
     aRequest.target_, request.facts_.teamKey_, aRequest.body_);
   request.service_ = RouteTable::ChooseService(*request.route_, Draw());
   const milliseconds patience =
-    request.facts_.patience_.value_or(request.route_->timeout_);
+    request.facts_.callerTimeout_.value_or(request.route_->timeout_);
   request.deadline_ = aArrived + std::min(patience, request.route_->timeout_);
   return request;
 }
@@ -109,7 +109,8 @@
 {
   const TimePoint arrived = TimerService::Now();
   co_await WaitForFirstProof();
-  CallerFacts facts = parts_.dialect_.ReadCaller(aExchange.Request());
+  CallerRequestMetadata facts =
+    parts_.dialect_.ParseCallerRequest(aExchange.Request());
   const std::string attemptId = facts.attemptId_;
   auto request = Resolve(aExchange.Request(), std::move(facts), arrived);
   if (!request) {
@@ -119,8 +120,8 @@
   }
   const RoutedRequest& routed = request.value();
   {
-    const std::lock_guard lock(parts_.run_.repeats_.mutex_);
-    parts_.run_.repeats_.budget_.OnRequest(routed.service_, arrived);
+    const std::lock_guard lock(parts_.run_.retryBudget_.mutex_);
+    parts_.run_.retryBudget_.budget_.OnRequest(routed.service_, arrived);
   }
   aExchange.SetDeadline(routed.deadline_);
   RequestRun run(parts_.run_, aExchange, routed);
@@ -130,7 +131,7 @@
     co_return;
   }
   NoteFailed(attemptId, routed.route_->name_, done.error(), arrived);
-  if (!aExchange.Started()) {
+  if (!aExchange.ResponseStarted()) {
     co_await AnswerFailure(aExchange, attemptId, done.error());
   }
   // A stream that was begun stays unfinished, which shows that it was cut.
@@ -151,7 +152,8 @@
   if (!aborted && (done || !stopped)) {
     co_return done;
   }
-  Error error = MakeError(CodeOf(aExchange.Reason(), ResultCode::kCallerLeft));
+  Error error =
+    MakeError(ResultCodeOf(aExchange.Reason(), ResultCode::kCallerLeft));
   error.ran_ = aRun.Sends() > 0 ? RanState::kUnknown : RanState::kNo;
   if (stopped && error.ran_ == RanState::kNo) {
     error.retryAfter_ = RetrySoon();
@@ -168,7 +170,7 @@
     co_return;
   }
   HttpResponse answer =
-    parts_.dialect_.OwnAnswer(StatusOf(aError), aError, aAttemptId);
+    parts_.dialect_.MakeHostErrorResponse(StatusOf(aError), aError, aAttemptId);
   co_await aExchange.Send(std::move(answer));
 }
 
--- a/src/gateway/gooseberrylift-memory-holds.cc
+++ b/src/gateway/gooseberrylift-memory-reservation.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-memory-holds.h"
+#include "gooseberrylift/internal/gooseberrylift-memory-reservation.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
                          std::uint64_t aTokens,
                          Options aOptions)
   : parts_(std::move(aParts))
-  , ticketId_(std::move(aTicketId))
+  , reservationId_(std::move(aTicketId))
   , tokens_(aTokens)
   , options_(aOptions)
 {
@@ -24,10 +24,11 @@
   renewal_.Cancel();
   const TimePoint deadline = TimerService::Now() + options_.orderTimeout_;
   for (const std::string& address : addresses_) {
-    SpawnCleanup(
-      parts_.executor_,
-      SendOrder(
-        parts_, address, parts_.dialect_.ReleaseOrder(ticketId_), deadline));
+    SpawnCleanup(parts_.executor_,
+                 SendOrder(parts_,
+                           address,
+                           parts_.dialect_.MakeReleaseRequest(reservationId_),
+                           deadline));
   }
 }
 
@@ -63,8 +64,8 @@
 
 asio::awaitable<Outcome<void>> MemoryHolds::Reserve(std::string aAddress)
 {
-  HttpRequest order =
-    parts_.dialect_.ReserveOrder(ticketId_, tokens_, options_.holdFor_);
+  HttpRequest order = parts_.dialect_.MakeReserveRequest(
+    reservationId_, tokens_, options_.holdFor_);
   const auto answer =
     co_await parts_.client_.Fetch(std::move(aAddress),
                                   std::move(order),
@@ -86,8 +87,8 @@
     SpawnTask(parts_.executor_,
               SendOrder(parts_,
                         address,
-                        parts_.dialect_.ReserveOrder(
-                          ticketId_, tokens_, options_.holdFor_),
+                        parts_.dialect_.MakeReserveRequest(
+                          reservationId_, tokens_, options_.holdFor_),
                         deadline));
   }
 }
--- a/src/gateway/gooseberrylift-peer-keys.cc
+++ b/src/gateway/gooseberrylift-peer-keys.cc
@@ -76,7 +76,7 @@
   milliseconds pause = kFirstPause;
   while (true) {
     const TimePoint limit = TimerService::Now() + kTimeout;
-    const auto object = co_await aStore.ReadAnyAge(kKind, kName, limit);
+    const auto object = co_await aStore.ReadAllowStale(kKind, kName, limit);
     std::string key = KeyOf(object);
     if (key.empty() && IsMissing(object) && looks < kLooks) {
       ++looks;
--- a/src/gateway/gooseberrylift-suspect-watch.cc
+++ b/src/gateway/gooseberrylift-poison-request-monitor.cc
@@ -1,4 +1,4 @@
-#include "gooseberrylift/internal/gooseberrylift-suspect-watch.h"
+#include "gooseberrylift/internal/gooseberrylift-poison-request-monitor.h"
 
 #include "gooseberrylift/internal/gooseberrylift-log.h"
 #include "gooseberrylift/internal/gooseberrylift-tasks.h"
@@ -22,13 +22,13 @@
 
 } // namespace
 
-SuspectWatch::SuspectWatch(Parts aParts)
+PoisonRequestMonitor::PoisonRequestMonitor(Parts aParts)
   : parts_(std::move(aParts))
 {
 }
 
-void SuspectWatch::OnConnectionLost(const std::string& aFingerprint,
-                                    const ListedEndpoint& aEndpoint)
+void PoisonRequestMonitor::OnConnectionLost(const std::string& aFingerprint,
+                                            const ListedEndpoint& aEndpoint)
 {
   bool quarantined = false;
   bool look = false;
@@ -46,11 +46,11 @@
   }
 }
 
-asio::awaitable<void> SuspectWatch::Look(ListedEndpoint aEndpoint)
+asio::awaitable<void> PoisonRequestMonitor::Look(ListedEndpoint aEndpoint)
 {
   co_await TimerService::SleepFor(kLookAfter);
-  const bool refused =
-    co_await parts_.client_.IsRefused(aEndpoint.address_, kLookTimeout);
+  const bool refused = co_await parts_.client_.IsConnectionRefused(
+    aEndpoint.address_, kLookTimeout);
   {
     const std::lock_guard lock(mutex_);
     looking_.erase(aEndpoint.id_);
@@ -60,7 +60,7 @@
   }
 }
 
-void SuspectWatch::OnEndpointExit(const std::string& aEndpoint)
+void PoisonRequestMonitor::OnEndpointExit(const std::string& aEndpoint)
 {
   std::vector<std::string> quarantined;
   {
@@ -70,31 +70,32 @@
   Announce(quarantined, aEndpoint);
 }
 
-void SuspectWatch::Announce(const std::vector<std::string>& aFingerprints,
-                            const std::string& aEndpoint)
+void PoisonRequestMonitor::Announce(
+  const std::vector<std::string>& aFingerprints,
+  const std::string& aEndpoint)
 {
   for (const std::string& fingerprint : aFingerprints) {
-    Log(LogEvent::kRequestSuspected,
+    Log(LogEvent::kPoisonRequestDetected,
         { { "fingerprint", fingerprint }, { "endpoint", aEndpoint } });
   }
   if (!aFingerprints.empty()) {
-    parts_.tell_(); // the next host that gets one must know
+    parts_.notifyPeers_(); // the next host that gets one must know
   }
 }
 
-bool SuspectWatch::IsQuarantined(const std::string& aFingerprint)
+bool PoisonRequestMonitor::IsQuarantined(const std::string& aFingerprint)
 {
   const std::lock_guard lock(mutex_);
   return suspects_.IsQuarantined(aFingerprint, system_clock::now());
 }
 
-void SuspectWatch::OnPeer(const std::vector<QuarantineEntry>& aEntries)
+void PoisonRequestMonitor::OnPeer(const std::vector<QuarantineEntry>& aEntries)
 {
   const std::lock_guard lock(mutex_);
   suspects_.OnPeer(aEntries);
 }
 
-std::vector<QuarantineEntry> SuspectWatch::Entries()
+std::vector<QuarantineEntry> PoisonRequestMonitor::Entries()
 {
   const std::lock_guard lock(mutex_);
   return suspects_.Entries(system_clock::now());
--- a/src/gateway/gooseberrylift-request-answer.cc
+++ b/src/gateway/gooseberrylift-request-answer.cc
@@ -52,20 +52,21 @@
 
 // Says whether a request is to be taken from an endpoint that has been silent
 // to it for too long, and pays for that.
-bool RequestRun::LeavesSilent(const Fleet::Use& aUse)
+bool RequestRun::LeavesSilent(const Fleet::ActiveRequest& aActiveRequest)
 {
-  return IsRequestStalled(aUse.Signs(),
+  return IsRequestStalled(aActiveRequest.CurrentActivity(),
                           EndpointStallTimeout(*request_.route_)) &&
          MayLeave() && PayRepeat();
 }
 
-asio::awaitable<Outcome<void>> RequestRun::ReadHead(HttpCall& aCall,
-                                                    Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::ReadHead(
+  HttpCall& aCall,
+  Fleet::ActiveRequest& aActiveRequest)
 {
   aCall.SetDeadline(SilentAt());
   auto read = co_await aCall.ReadHead();
   while (!read && IsSilence(read.error())) {
-    if (LeavesSilent(aUse)) {
+    if (LeavesSilent(aActiveRequest)) {
       co_return SilentError();
     }
     aCall.SetDeadline(LookAgainAt());
@@ -74,31 +75,37 @@
   if (!read) {
     co_return read.error();
   }
-  if (const auto fault = CheckHead(aCall.Head(), aUse)) {
+  if (const auto fault = CheckHead(aCall.Head(), aActiveRequest)) {
     co_return *fault;
   }
-  aUse.OnHeard(request_.route_->kind_ != RouteKind::kStreaming);
+  aActiveRequest.OnDataReceived(request_.route_->kind_ !=
+                                RouteKind::kStreaming);
   co_return boost::outcome_v2::success();
 }
 
 // Takes in an endpoint's rate limit. Another incarnation's answer says nothing
 // of this one, and one that nobody signed may not end a limit.
-void RequestRun::NoteRate(const EndpointFacts& aFacts, const Fleet::Use& aUse)
+void RequestRun::NoteRate(const EndpointResponseMetadata& aFacts,
+                          const Fleet::ActiveRequest& aActiveRequest)
 {
   const bool isNamed =
-    aFacts.rate_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
-  if (!aFacts.replaced_ && (isNamed || aFacts.genuine_)) {
+    aFacts.advertisedRateLimit_.kind_ == AdvertisedRateLimit::Kind::kSpecified;
+  if (!aFacts.instanceReplaced_ && (isNamed || aFacts.hasResponseStamp_)) {
     parts_.limiter_.OnAnswer(
-      aUse.Placement().endpoint_.IncarnationId(), aFacts.rate_, aUse.SentAt());
+      aActiveRequest.Placement().endpoint_.IncarnationId(),
+      aFacts.advertisedRateLimit_,
+      aActiveRequest.SentAt());
   }
 }
 
 // What the head of an answer must show before anything it says is believed.
-std::optional<Error> RequestRun::CheckHead(const HttpResponse& aHead,
-                                           const Fleet::Use& aUse)
+std::optional<Error> RequestRun::CheckHead(
+  const HttpResponse& aHead,
+  const Fleet::ActiveRequest& aActiveRequest)
 {
-  const FleetPlacement& placement = aUse.Placement();
-  const EndpointFacts facts = parts_.dialect_.ReadEndpoint(aHead);
+  const FleetPlacement& placement = aActiveRequest.Placement();
+  const EndpointResponseMetadata facts =
+    parts_.dialect_.ParseEndpointResponse(aHead);
   // A late answer to an earlier request looks like one to this; its refusal
   // would prove nothing about this one.
   if (facts.attemptId_ != request_.facts_.attemptId_) {
@@ -106,26 +113,27 @@
                   .text_ = "answer to '" + facts.attemptId_ + "'",
                   .ran_ = RanState::kUnknown };
   }
-  NoteRate(facts, aUse);
-  if (facts.replaced_) {
+  NoteRate(facts, aActiveRequest);
+  if (facts.instanceReplaced_) {
     parts_.fleet_.WithDirectory([&](EndpointDirectory& aDirectory) {
       aDirectory.OnReplaced(placement.endpoint_.id_);
     });
   }
-  if (facts.notRun_) {
+  if (facts.notExecuted_) {
     // The next try must not ask the same helper again.
     for (const ListedEndpoint& helper : placement.helpers_) {
-      if (helper.address_ == facts.atFault_) {
+      if (helper.address_ == facts.failedHelperAddress_) {
         tried_.insert(helper.id_);
       }
     }
     return Error{ .code_ = ResultCode::kEndpointRefused,
-                  .text_ =
-                    "status " + std::to_string(aHead.status_) +
-                    (facts.atFault_.empty() ? "" : " at " + facts.atFault_),
+                  .text_ = "status " + std::to_string(aHead.status_) +
+                           (facts.failedHelperAddress_.empty()
+                              ? ""
+                              : " at " + facts.failedHelperAddress_),
                   .retryAfter_ = RetrySoon() };
   }
-  if (!facts.genuine_) {
+  if (!facts.hasResponseStamp_) {
     return Broken("an answer without the endpoint's signature");
   }
   if (!aHead.Field("Content-Encoding").empty()) {
@@ -136,12 +144,12 @@
 
 asio::awaitable<Outcome<std::optional<std::string>>> RequestRun::ReadPiece(
   HttpCall& aCall,
-  const Fleet::Use& aUse)
+  const Fleet::ActiveRequest& aActiveRequest)
 {
   aCall.SetDeadline(SilentAt());
   auto piece = co_await aCall.ReadSome();
   while (!piece && IsSilence(piece.error())) {
-    if (LeavesSilent(aUse)) {
+    if (LeavesSilent(aActiveRequest)) {
       co_return SilentError();
     }
     aCall.SetDeadline(LookAgainAt());
@@ -150,12 +158,13 @@
   co_return piece;
 }
 
-asio::awaitable<Outcome<void>> RequestRun::PassWhole(HttpCall& aCall,
-                                                     const Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::PassWhole(
+  HttpCall& aCall,
+  const Fleet::ActiveRequest& aActiveRequest)
 {
-  HttpResponse answer = parts_.dialect_.ForCaller(aCall.Head());
+  HttpResponse answer = parts_.dialect_.MakeCallerResponse(aCall.Head());
   while (true) {
-    auto piece = co_await ReadPiece(aCall, aUse);
+    auto piece = co_await ReadPiece(aCall, aActiveRequest);
     if (!piece) {
       co_return piece.error();
     }
@@ -188,8 +197,8 @@
 {
   streaming_ = true;
   NoteAnswer(aCall.Head().status_);
-  bool open =
-    co_await exchange_.StartStream(parts_.dialect_.ForCaller(aCall.Head()));
+  bool open = co_await exchange_.StartStream(
+    parts_.dialect_.MakeCallerResponse(aCall.Head()));
   if (open) {
     open = co_await exchange_.Write(aBegin);
   }
@@ -208,20 +217,21 @@
   co_return MakeError(ResultCode::kCallerLeft);
 }
 
-asio::awaitable<Outcome<void>> RequestRun::PassStream(HttpCall& aCall,
-                                                      Fleet::Use& aUse)
+asio::awaitable<Outcome<void>> RequestRun::PassStream(
+  HttpCall& aCall,
+  Fleet::ActiveRequest& aActiveRequest)
 {
   EventSplitter splitter;
   bool first = true;
   while (true) {
-    auto piece = co_await ReadPiece(aCall, aUse);
+    auto piece = co_await ReadPiece(aCall, aActiveRequest);
     if (!piece) {
       co_return piece.error();
     }
     if (!piece.value()) {
       break;
     }
-    aUse.OnHeard(first);
+    aActiveRequest.OnDataReceived(first);
     first = false;
     splitter.Feed(*piece.value());
     auto events = TakeEvents(splitter);
@@ -293,7 +303,8 @@
   }
   streaming_ = true;
   NoteAnswer(aHead.status_);
-  co_return co_await exchange_.StartStream(parts_.dialect_.ForCaller(aHead));
+  co_return co_await exchange_.StartStream(
+    parts_.dialect_.MakeCallerResponse(aHead));
 }
 
 asio::awaitable<Outcome<void>> RequestRun::SendKept()
--- a/src/gateway/gooseberrylift-request-run.cc
+++ b/src/gateway/gooseberrylift-request-run.cc
@@ -111,7 +111,7 @@
       attempts_.OnRefused(*refusal);
       break;
     }
-    if (!parts_.fleet_.Claim(*placement)) {
+    if (!parts_.fleet_.TryUsePermit(*placement)) {
       continue;
     }
     LogPlaced(*placement);
@@ -142,12 +142,12 @@
   if (TimerService::Now() + kLeastRemaining >= request_.deadline_) {
     return MakeError(ResultCode::kDeadlineExceeded);
   }
-  if (parts_.suspects_.IsQuarantined(request_.fingerprint_)) {
+  if (parts_.poisonRequestMonitor_.IsQuarantined(request_.fingerprint_)) {
     Error error = MakeError(ResultCode::kSuspectRequest);
     error.retryAfter_ = kSuspectRetry;
     return error;
   }
-  if (request_.keyed_ && !parts_.routes_.KeysAreProven()) {
+  if (request_.keyed_ && !parts_.routes_.AreKeysProven()) {
     Error error = MakeError(ResultCode::kFreshnessLost);
     error.retryAfter_ = RetrySoon();
     return error;
@@ -177,7 +177,7 @@
   const RoutedService* service =
     request_.table_->ServiceByName(request_.service_);
   if (service != nullptr) {
-    query.figures_ = service->engine_;
+    query.engineProfile_ = service->engine_;
   }
   query.gaps_ = request_.table_->GapsOf(request_.service_);
   return query;
@@ -186,21 +186,23 @@
 HttpRequest RequestRun::MakeSend(const FleetPlacement& aPlacement,
                                  const MemoryHolds* aHolds) const
 {
-  EndpointSend send{ .endpointId_ = aPlacement.endpoint_.id_,
-                     .team_ = request_.team_,
-                     .hidesKey_ = request_.table_->NeedsKeys(),
-                     .remaining_ = RemainingTime(),
-                     .urgency_ = PriorityClassOf(request_.priority_,
-                                                 aPlacement.deferred_) };
+  EndpointRequestMetadata send{
+    .endpointId_ = aPlacement.endpoint_.id_,
+    .team_ = request_.team_,
+    .removeCallerKey_ = request_.table_->NeedsKeys(),
+    .remaining_ = RemainingTime(),
+    .priorityClass_ = PriorityClassOf(request_.priority_, aPlacement.deferred_)
+  };
   if (events_.Last()) {
     send.lastEventId_ = events_.Last();
   }
   for (const ListedEndpoint& helper : aPlacement.helpers_) {
-    send.helpers_.push_back(
-      { .address_ = helper.address_,
-        .ticketId_ = aHolds == nullptr ? std::string() : aHolds->TicketId() });
+    send.helpers_.push_back({ .address_ = helper.address_,
+                              .reservationId_ = aHolds == nullptr
+                                                  ? std::string()
+                                                  : aHolds->TicketId() });
   }
-  return parts_.dialect_.ForEndpoint(exchange_.Request(), send);
+  return parts_.dialect_.MakeEndpointRequest(exchange_.Request(), send);
 }
 
 // Sets memory aside at the helpers where one engine can't hold the prompt.
@@ -215,7 +217,8 @@
                             .executor_ = parts_.executor_ };
   MemoryHolds::Options options;
   options.holdFor_ =
-    std::min(options.holdFor_, parts_.board_.bounds_.Read()->bounds_.maxHold_);
+    std::min(options.holdFor_,
+             parts_.board_.gatewaySettings_.Read()->gatewaySettings_.maxHold_);
   co_return co_await MemoryHolds::Take(std::move(parts),
                                        request_.facts_.attemptId_ + "-" +
                                          std::to_string(sends_),
@@ -227,7 +230,7 @@
 asio::awaitable<Outcome<void>> RequestRun::Attempt(FleetPlacement aPlacement)
 {
   const FleetQuery query = MakeQuery();
-  Fleet::Use use(parts_.fleet_, query, std::move(aPlacement));
+  Fleet::ActiveRequest use(parts_.fleet_, query, std::move(aPlacement));
   TellPlaced(use.Placement());
   const TimePoint began = TimerService::Now();
   auto holds = co_await TakeMemory(use.Placement());
@@ -270,7 +273,7 @@
     }
   }
   use.End(done ? EndpointOutcome::kServed : OutcomeOf(done.error()));
-  parts_.words_.OnEnded();
+  parts_.words_.OnRequestEnded();
   co_return done;
 }
 
@@ -279,7 +282,8 @@
 {
   std::vector<ListedEndpoint> endpoints = aPlacement.helpers_;
   endpoints.push_back(aPlacement.endpoint_);
-  parts_.words_.OnPlaced(endpoints, aPlacement.cost_.prefill_ > kToldRead);
+  parts_.words_.OnRequestPlaced(endpoints,
+                                aPlacement.cost_.prefill_ > kToldRead);
 }
 
 // Notes an endpoint that broke off after it had got the request. A silent one
@@ -288,7 +292,8 @@
                             const Error& aError)
 {
   if (aError.code_ == ResultCode::kEndpointBroken) {
-    parts_.suspects_.OnConnectionLost(request_.fingerprint_, aEndpoint);
+    parts_.poisonRequestMonitor_.OnConnectionLost(request_.fingerprint_,
+                                                  aEndpoint);
   }
 }
 
@@ -302,8 +307,9 @@
   if (!untaken && !request_.route_->IsRepeatable()) {
     return false;
   }
-  const bool deadEnd = aError.code_ == ResultCode::kEndpointUnreachable &&
-                       !parts_.fleet_.HasOther(request_.service_, tried_);
+  const bool deadEnd =
+    aError.code_ == ResultCode::kEndpointUnreachable &&
+    !parts_.fleet_.HasUntriedEndpoint(request_.service_, tried_);
   if (sends_ >= request_.route_->maxAttempts_ || deadEnd ||
       unreachable_ > kMostUnreachable) {
     return false;
@@ -331,9 +337,9 @@
 
 bool RequestRun::PayRepeat()
 {
-  const std::lock_guard lock(parts_.repeats_.mutex_);
-  repeatPaid_ = parts_.repeats_.budget_.TryRetry(
-    request_.service_, parts_.repeats_.hosts_, TimerService::Now());
+  const std::lock_guard lock(parts_.retryBudget_.mutex_);
+  repeatPaid_ = parts_.retryBudget_.budget_.TryRetry(
+    request_.service_, parts_.retryBudget_.hosts_, TimerService::Now());
   return repeatPaid_;
 }
 
--- a/src/gateway/gooseberrylift-request-waiting.cc
+++ b/src/gateway/gooseberrylift-request-waiting.cc
@@ -48,7 +48,7 @@
 HoldDecision RequestRun::JudgeHold(const FleetPlacement& aPlacement) const
 {
   const EngineProfile* figures = Figures();
-  if (!aPlacement.long_ || sends_ > 0 || figures == nullptr) {
+  if (!aPlacement.slowsDecoding_ || sends_ > 0 || figures == nullptr) {
     return HoldDecision::kSend;
   }
   HoldInput question = MakeHoldInput(*figures, aPlacement.wait_);
--- a/src/gateway/gooseberrylift-route-follower.cc
+++ b/src/gateway/gooseberrylift-route-follower.cc
@@ -18,7 +18,7 @@
       object.version_ == seenVersion_) {
     return; // a proof that nothing changed costs no decoding
   }
-  auto document = dialect_.ReadRoutes(object.spec_);
+  auto document = dialect_.ParseRoutes(object.spec_);
   if (!document) {
     if (refusedVersion_ != object.version_) {
       refusedVersion_ = object.version_;
@@ -53,14 +53,14 @@
   lease_.OnProof(aBegan);
 }
 
-bool RouteFollower::KeysAreProven()
+bool RouteFollower::AreKeysProven()
 {
-  const auto bounds = board_.bounds_.Read();
-  if (!bounds->bounds_.strictRevocation_) {
+  const auto bounds = board_.gatewaySettings_.Read();
+  if (!bounds->gatewaySettings_.strictRevocation_) {
     return true;
   }
   const std::lock_guard lock(leaseMutex_);
-  lease_.SetRevokeWithin(bounds->bounds_.revokeWithin_);
+  lease_.SetRevokeWithin(bounds->gatewaySettings_.revokeWithin_);
   const BootTime now = TimerService::BootNow();
   const bool proven = lease_.IsValid(now);
   if (proven != proven_) {
@@ -88,7 +88,7 @@
 // logged once for each of its versions, however often it is read.
 std::optional<ListedEndpoint> EndpointFollower::Read(const StoreObject& aObject)
 {
-  auto listed = dialect_.ReadListed(aObject);
+  auto listed = dialect_.ParseListedEndpoint(aObject);
   if (listed) {
     refused_.erase(aObject.name_);
     return std::move(listed.value());
--- a/src/gateway/gooseberrylift-store-follower.cc
+++ b/src/gateway/gooseberrylift-store-follower.cc
@@ -54,7 +54,7 @@
     list.push_back({ object.name_, object.version_, object.spec_ });
   }
   json answer = { { kRevision, aChanges.revision_ },
-                  { kChanges, PackText(list.dump()) },
+                  { kChanges, CompressToBase64(list.dump()) },
                   { kRemoved, aChanges.removed_ } };
   if (aChanges.names_) {
     answer[kNames] = *aChanges.names_;
@@ -67,7 +67,7 @@
 {
   StoreDelta changes;
   changes.revision_ = aAnswer.at(kRevision);
-  const auto objects = UnpackText(aAnswer.at(kChanges));
+  const auto objects = DecompressFromBase64(aAnswer.at(kChanges));
   for (const json& item : json::parse(objects.value_or(kNoText))) {
     changes.objects_.push_back(
       { .name_ = item.at(0), .version_ = item.at(1), .spec_ = item.at(2) });
@@ -107,7 +107,7 @@
 asio::awaitable<void> StoreFollower::Run()
 {
   if (options_.hasPeers_) {
-    co_await ReadAnyAge();
+    co_await ReadAllowStale();
   }
   while (true) {
     const milliseconds due =
@@ -123,15 +123,16 @@
 }
 
 // On failure the lists are left to Read(), which handles store errors.
-asio::awaitable<void> StoreFollower::ReadAnyAge()
+asio::awaitable<void> StoreFollower::ReadAllowStale()
 {
   const TimePoint limit = TimerService::Now() + options_.callTimeout_;
   auto endpoints =
-    co_await parts_.store_.ListAnyAge(options_.endpointsKind_, limit);
+    co_await parts_.store_.ListAllowStale(options_.endpointsKind_, limit);
   if (!endpoints) {
     co_return;
   }
-  auto routes = co_await parts_.store_.ListAnyAge(options_.routesKind_, limit);
+  auto routes =
+    co_await parts_.store_.ListAllowStale(options_.routesKind_, limit);
   if (!routes) {
     co_return;
   }
--- a/src/host/gooseberrylift-entry-host.cc
+++ b/src/host/gooseberrylift-entry-host.cc
@@ -78,12 +78,12 @@
         .client_ = client_,
         .executor_ = context_.get_executor(),
         .own_ = [this] { return DigestOf(board_); },
-        .publish_ =
+        .onPeersChanged_ =
           [this](const PeersState& aPeers) { board_.peers_.Write(aPeers); },
         .configuration_ = [this] { return OfferedBy(board_); },
         .offer_ =
           [this](const OfferedConfiguration& aOffered) {
-            configFollower_.OfferText(
+            configFollower_.ApplyTextIfNewer(
               aOffered.generation_, aOffered.text_, ConfigSource::kPeer);
           } },
       PeerExchange::Options{})
@@ -121,36 +121,35 @@
           models_,
           board_,
           context_.get_executor(),
-          { .lease_ = settings_.jobLease_ })
-  , jobFront_(store_, jobs_, JobFront::Options{})
-  , callerFront_({ .board_ = board_,
-                   .models_ = models_,
-                   .services_ = services_,
-                   .once_ = once_,
-                   .jobs_ = jobFront_,
-                   .metrics_ = metrics_,
-                   .burn_ = burn_ })
-  , adminFront_({ .settings_ = settings_,
-                  .board_ = board_,
-                  .broker_ = broker_,
-                  .metrics_ = metrics_ })
-  , configAdmin_(store_, configFollower_, board_, ConfigAdmin::Options{})
-  , callerServer_(context_.get_executor(),
-                  { .address_ = settings_.caller_.address_,
-                    .port_ = settings_.caller_.port_,
-                    .maxHeaderBytes_ = settings_.maxHeaderBytes_,
-                    .maxBodyBytes_ = settings_.maxBodyBytes_,
-                    .headerTimeout_ = settings_.headerTimeout_,
-                    .bodyTimeout_ = settings_.bodyTimeout_,
-                    .writeTimeout_ = settings_.writeTimeout_ },
-                  [this](HttpExchange& aExchange) {
-                    return callerFront_.Handle(aExchange);
-                  })
+          { .leaseDuration_ = settings_.jobLease_ })
+  , jobApi_(store_, jobs_, JobApi::Options{})
+  , callerApi_({ .board_ = board_,
+                 .models_ = models_,
+                 .services_ = services_,
+                 .once_ = once_,
+                 .jobs_ = jobApi_,
+                 .metrics_ = metrics_,
+                 .burn_ = burn_ })
+  , adminApi_({ .settings_ = settings_,
+                .board_ = board_,
+                .broker_ = broker_,
+                .metrics_ = metrics_ })
+  , configApi_(store_, configFollower_, board_, ConfigApi::Options{})
+  , callerServer_(
+      context_.get_executor(),
+      { .address_ = settings_.caller_.address_,
+        .port_ = settings_.caller_.port_,
+        .maxHeaderBytes_ = settings_.maxHeaderBytes_,
+        .maxBodyBytes_ = settings_.maxBodyBytes_,
+        .headerTimeout_ = settings_.headerTimeout_,
+        .bodyTimeout_ = settings_.bodyTimeout_,
+        .writeTimeout_ = settings_.writeTimeout_ },
+      [this](HttpExchange& aExchange) { return callerApi_.Handle(aExchange); })
   , adminServer_(
       context_.get_executor(),
       { .address_ = settings_.admin_.address_,
         .port_ = settings_.admin_.port_ },
-      [this](HttpExchange& aExchange) { return adminFront_.Handle(aExchange); })
+      [this](HttpExchange& aExchange) { return adminApi_.Handle(aExchange); })
   , peerServer_(
       context_.get_executor(),
       { .address_ = settings_.peer_.address_, .port_ = settings_.peer_.port_ },
@@ -161,9 +160,9 @@
 
 void EntryHost::AddRoutes()
 {
-  burn_.AddRoutes(adminFront_);
-  AddLogRoutes(adminFront_);
-  adminFront_.Add(
+  burn_.AddRoutes(adminApi_);
+  AddLogRoutes(adminApi_);
+  adminApi_.Add(
     "POST", "/drain", [](HttpExchange& aExchange) -> asio::awaitable<void> {
       co_await aExchange.Send(TextResponse(202, "draining\n"));
       std::raise(SIGTERM);
@@ -172,7 +171,7 @@
 
 Outcome<void> EntryHost::Run()
 {
-  configAdmin_.AddRoutes(adminFront_);
+  configApi_.AddRoutes(adminApi_);
   const auto listening = Listen();
   if (!listening) {
     return listening.error();
@@ -207,7 +206,7 @@
   }
   peers_.Start(peerPort.value(), settings_.peerKeys_);
   board_.configuration_.Subscribe(
-    [this](const auto& /*aSnapshot*/) { peers_.TellNews(); });
+    [this](const auto& /*aSnapshot*/) { peers_.AnnounceConfiguration(); });
   Log(LogEvent::kStarted,
       { { "caller_port", callerPort.value() },
         { "admin_port", adminPort.value() },
--- a/src/host/gooseberrylift-gateway-host.cc
+++ b/src/host/gooseberrylift-gateway-host.cc
@@ -76,51 +76,53 @@
              .limiter_ = limiter_,
              .onReborn_ =
                [this](const std::string& aEndpoint) {
-                 suspects_.OnEndpointExit(aEndpoint);
+                 poisonRequestMonitor_.OnEndpointExit(aEndpoint);
                } })
   , routes_(*dialect_, board_)
   , endpoints_(*dialect_, fleet_)
   , follower_(FollowerParts(), FollowerOptions())
-  , peers_(
-      { .settings_ = settings_,
-        .store_ = *store_,
-        .client_ = peerClient_,
+  , peers_({ .settings_ = settings_,
+             .store_ = *store_,
+             .client_ = peerClient_,
+             .executor_ = context_.get_executor(),
+             .own_ = [this] { return OwnDigest(); },
+             .onPeersChanged_ =
+               [this](const PeersState& aPeers) { TakeInPeers(aPeers); },
+             .isListed_ = [this] { return rank_.rank_ == 0; } },
+           { .round_ = kPeerRound,
+             .largeFleetRound_ = kLargePeerRound,
+             .publishesInRounds_ = true,
+             .callTimeout_ = milliseconds(500),
+             .roundFanout_ = kPeerPartners,
+             .roundsUntilExpired_ = kPeerRoundsUntilGone,
+             .relayed_ = kPeerRelayed })
+  , poisonRequestMonitor_(
+      { .client_ = client_,
         .executor_ = context_.get_executor(),
-        .own_ = [this] { return OwnDigest(); },
-        .publish_ = [this](const PeersState& aPeers) { TakeInPeers(aPeers); },
-        .isListed_ = [this] { return rank_.rank_ == 0; } },
-      { .round_ = kPeerRound,
-        .largeFleetRound_ = kLargePeerRound,
-        .publishesInRounds_ = true,
-        .callTimeout_ = milliseconds(500),
-        .roundFanout_ = kPeerPartners,
-        .roundsUntilExpired_ = kPeerRoundsUntilGone,
-        .relayed_ = kPeerRelayed })
-  , suspects_({ .client_ = client_,
-                .executor_ = context_.get_executor(),
-                .tell_ = [this] { peers_.TellNear(); } })
+        .notifyPeers_ = [this] { peers_.ExchangeInScope(); } })
   , datagrams_(context_.get_executor())
-  , headlines_({ .executor_ = context_.get_executor(),
-                 .datagrams_ = datagrams_,
-                 .draw_ = [this] { return SamplePeers(groups_, random_); },
-                 .own_ = [this] { return follower_.Headline(); },
-                 .take_ =
-                   [this](const PeerMember& aPeer,
-                          const StoreStatus& aHeadline,
-                          std::optional<BootTime> aAsked) {
-                     peers_.OnHeard(aPeer.host_);
-                     follower_.OnHeadline(aPeer, aHeadline, aAsked);
-                   } },
-               { .host_ = settings_.hostName_ })
+  , headlines_(
+      { .executor_ = context_.get_executor(),
+        .datagrams_ = datagrams_,
+        .samplePeers_ = [this] { return SamplePeers(groups_, random_); },
+        .own_ = [this] { return follower_.Headline(); },
+        .onReceived_ =
+          [this](const PeerMember& aPeer,
+                 const StoreStatus& aHeadline,
+                 std::optional<BootTime> aAsked) {
+            peers_.OnHeard(aPeer.host_);
+            follower_.OnHeadline(aPeer, aHeadline, aAsked);
+          } },
+      { .host_ = settings_.hostName_ })
   , words_({ .executor_ = context_.get_executor(),
              .datagrams_ = datagrams_,
              .own_ = [this] { return fleet_.OwnShares(); },
-             .ownAt_ =
+             .ownSharesAt_ =
                [this](const std::vector<ListedEndpoint>& aEndpoints) {
                  return fleet_.OwnSharesAt(aEndpoints);
                },
-             .zoneSums_ = [this] { return fleet_.SumOf(groups_.zoneHosts_); },
-             .take_ =
+             .zoneTotals_ = [this] { return fleet_.SumOf(groups_.zoneHosts_); },
+             .onReceived_ =
                [this](const LoadMessage& aWord) {
                  metrics_.Count("gooseberrylift_load_words_total", "");
                  fleet_.OnLoadMessage(aWord);
@@ -141,8 +143,8 @@
                        .dialect_ = *dialect_,
                        .fleet_ = fleet_,
                        .routes_ = routes_,
-                       .repeats_ = repeats_,
-                       .suspects_ = suspects_,
+                       .retryBudget_ = retryBudget_,
+                       .poisonRequestMonitor_ = poisonRequestMonitor_,
                        .limiter_ = limiter_,
                        .executor_ = context_.get_executor(),
                        .words_ = words_ } })
@@ -193,8 +195,8 @@
   digest.generation_ = table ? table->Version() : 0;
   digest.storeReachable_ = !follower_.IsStoreUnavailable();
   digest.draining_ = board_.host_.Read()->draining_;
-  digest.keysProven_ = routes_.KeysAreProven();
-  digest.quarantine_ = suspects_.Entries();
+  digest.keysProven_ = routes_.AreKeysProven();
+  digest.quarantine_ = poisonRequestMonitor_.Entries();
   digest.rates_ = limiter_.Entries();
   return digest;
 }
@@ -222,15 +224,15 @@
                       aPeers.digests_);
   }
   for (const Digest& digest : aPeers.digests_) {
-    suspects_.OnPeer(digest.quarantine_);
+    poisonRequestMonitor_.OnPeer(digest.quarantine_);
     limiter_.OnPeer(digest.rates_);
   }
   limiter_.SetPeers(
     aPeers.digests_, aPeers.known_, board_.host_.Read()->draining_);
   fleet_.Sweep();
   limiter_.Sweep();
-  const std::lock_guard lock(repeats_.mutex_);
-  repeats_.hosts_ = aPeers.known_ + 1;
+  const std::lock_guard lock(retryBudget_.mutex_);
+  retryBudget_.hosts_ = aPeers.known_ + 1;
 }
 
 bool GatewayHost::IsSeed() const
@@ -247,7 +249,7 @@
   return settings_.admin_.address_ + ":" + std::to_string(port);
 }
 
-EndpointLimiter::Parts GatewayHost::LimiterParts()
+EndpointRateLimiter::Parts GatewayHost::LimiterParts()
 {
   return { .executor_ = context_.get_executor(),
            .metrics_ = metrics_,
@@ -255,7 +257,7 @@
              [this](const Incarnation& aEndpoint) {
                return fleet_.IsListed(aEndpoint);
              },
-           .tell_ = [this] { peers_.TellNear(); },
+           .notifyPeers_ = [this] { peers_.ExchangeInScope(); },
            .call_ =
              [this](PeerMember aPeer, nlohmann::json aParams, TimePoint aBy) {
                return peers_.Call(
@@ -284,7 +286,7 @@
         Log(aReachable ? LogEvent::kStoreReached : LogEvent::kStoreLost);
       },
     .onReturned_ = [this] { endpoints_.OnStoreReturned(); },
-    .onNews_ = [this] { headlines_.AskNow(); },
+    .onNews_ = [this] { headlines_.SendRequestNow(); },
     .rank_ = [this] { return rank_; },
   };
 }
@@ -308,7 +310,7 @@
   const auto open =
     datagrams_.Start(settings_.peer_.address_, peerServer_.Port(), key);
   if (!open) {
-    Log(LogEvent::kPeerWordsFailed, { { "fault", open.error().text_ } });
+    Log(LogEvent::kLoadPortUnavailable, { { "fault", open.error().text_ } });
   }
   words_.Start();
   if (settings_.gateway_->relaysStore_) {
@@ -319,11 +321,11 @@
 
 void GatewayHost::ApplyBounds(const GatewaySettings& aBounds)
 {
-  board_.bounds_.Write({ .bounds_ = aBounds });
-  const std::lock_guard lock(repeats_.mutex_);
-  repeats_.budget_.SetOptions({ .ratio_ = aBounds.retryRatio_,
-                                .window_ = aBounds.retryWindow_,
-                                .allowance_ = aBounds.retryAllowance_ });
+  board_.gatewaySettings_.Write({ .gatewaySettings_ = aBounds });
+  const std::lock_guard lock(retryBudget_.mutex_);
+  retryBudget_.budget_.SetOptions({ .ratio_ = aBounds.retryRatio_,
+                                    .window_ = aBounds.retryWindow_,
+                                    .allowance_ = aBounds.retryAllowance_ });
 }
 
 Outcome<void> GatewayHost::Run()
@@ -372,7 +374,7 @@
   // A host that must refuse keys sends its callers to those that need not.
   // When none can, it stays: it may be the first to reach the store again, and
   // its public routes are served meanwhile.
-  if (table->NeedsKeys() && peersProven_ && !routes_.KeysAreProven()) {
+  if (table->NeedsKeys() && peersProven_ && !routes_.AreKeysProven()) {
     return "keys are not proven here, but on other hosts";
   }
   return {};
@@ -399,7 +401,7 @@
     { "generation", table ? table->Version() : 0 },
     { "store_reachable", !follower_.IsStoreUnavailable() },
     { "proof_age_ms", age ? age->count() : -1 },
-    { "keys_proven", routes_.KeysAreProven() },
+    { "keys_proven", routes_.AreKeysProven() },
   };
   return status.dump();
 }
@@ -407,7 +409,7 @@
 asio::awaitable<void> GatewayHost::HandleAdmin(HttpExchange& aExchange)
 {
   // Hosts that start know others by this address only.
-  if (PeerRpc::IsCall(aExchange.Request())) {
+  if (PeerRpc::IsRpcRequest(aExchange.Request())) {
     co_await peers_.Handle(aExchange);
     co_return;
   }
--- a/src/host/gooseberrylift-host-stop.cc
+++ b/src/host/gooseberrylift-host-stop.cc
@@ -45,7 +45,7 @@
   RunUntil(aContext, kAnswersLimit, [&aServers] {
     return std::all_of(
       aServers.begin(), aServers.end(), [](const HttpServer* aServer) {
-        return aServer->Active() == 0;
+        return aServer->ActiveRequests() == 0;
       });
   });
   for (HttpServer* server : aServers) {
--- a/src/net/gooseberrylift-forward-fields.cc
+++ b/src/net/gooseberrylift-forward-fields.cc
@@ -74,7 +74,7 @@
   return kept;
 }
 
-HttpFields WithoutOwnFields(const HttpFields& aFields)
+HttpFields WithoutHostFields(const HttpFields& aFields)
 {
   HttpFields kept = WithoutConnectionFields(aFields);
   std::erase_if(kept, [](const HttpField& aField) {
--- a/src/net/gooseberrylift-http-client.cc
+++ b/src/net/gooseberrylift-http-client.cc
@@ -8,7 +8,7 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 
-#include "gooseberrylift/internal/gooseberrylift-op-guard.h"
+#include "gooseberrylift/internal/gooseberrylift-socket-deadline.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
 
 namespace gooseberrylift {
@@ -131,7 +131,7 @@
   static asio::awaitable<boost::system::error_code>
   Open(Connection& aConnection, tcp::endpoint aEndpoint, TimePoint aLimit)
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       aConnection.socket_, co_await asio::this_coro::executor, aLimit);
     const auto [code] =
       co_await aConnection.socket_.async_connect(aEndpoint, kAwait);
@@ -210,7 +210,7 @@
 
   asio::awaitable<Outcome<void>> Send(http::request<http::string_body> aMessage)
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     const auto [code, size] =
       co_await http::async_write(connection_->socket_, aMessage, kAwait);
@@ -224,7 +224,7 @@
 
   asio::awaitable<Outcome<void>> ReadHead() override
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     const auto [code, size] = co_await http::async_read_header(
       connection_->socket_, connection_->buffer_, parser_, kAwait);
@@ -241,13 +241,13 @@
 
   const HttpResponse& Head() const override { return head_; }
 
-  bool EndIsCertain() const override { return !parser_.need_eof(); }
+  bool HasExplicitEnd() const override { return !parser_.need_eof(); }
 
   void SetDeadline(TimePoint aDeadline) override { deadline_ = aDeadline; }
 
   asio::awaitable<Outcome<std::optional<std::string>>> ReadSome() override
   {
-    const OpGuard guard(
+    const SocketDeadline guard(
       connection_->socket_, co_await asio::this_coro::executor, deadline_);
     while (!parser_.is_done()) {
       parser_.get().body().data = piece_.data();
@@ -316,7 +316,7 @@
 {
   const std::shared_ptr<Impl> impl = impl_;
   std::unique_ptr<Connection> connection;
-  if (!aCall.freshConnection_) {
+  if (!aCall.forceNewConnection_) {
     connection = impl->TakeIdle(aAddress, aCall.maxIdle_);
   }
   if (!connection) {
@@ -351,8 +351,9 @@
   co_return std::unique_ptr<HttpCall>(std::move(call));
 }
 
-asio::awaitable<bool> HttpClient::IsRefused(std::string aAddress,
-                                            std::chrono::milliseconds aTimeout)
+asio::awaitable<bool> HttpClient::IsConnectionRefused(
+  std::string aAddress,
+  std::chrono::milliseconds aTimeout)
 {
   const auto endpoint = ParseAddress(aAddress);
   if (!endpoint) {
--- a/src/net/gooseberrylift-http-server.cc
+++ b/src/net/gooseberrylift-http-server.cc
@@ -17,7 +17,7 @@
 
 } // namespace
 
-ResultCode CodeOf(AbortReason aReason, ResultCode aOther)
+ResultCode ResultCodeOf(AbortReason aReason, ResultCode aOther)
 {
   switch (aReason) {
     case AbortReason::kDeadline:
@@ -174,10 +174,10 @@
   while (impl_->state_->active_ > 0 && TimerService::Now() < aDeadline) {
     co_await TimerService::SleepFor(kPoll);
   }
-  co_return Active();
+  co_return ActiveRequests();
 }
 
-std::size_t HttpServer::Active() const
+std::size_t HttpServer::ActiveRequests() const
 {
   return static_cast<std::size_t>(impl_->state_->active_);
 }
--- a/src/net/gooseberrylift-http-session.cc
+++ b/src/net/gooseberrylift-http-session.cc
@@ -3,7 +3,7 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 
-#include "gooseberrylift/internal/gooseberrylift-op-guard.h"
+#include "gooseberrylift/internal/gooseberrylift-socket-deadline.h"
 #include "gooseberrylift/internal/gooseberrylift-tasks.h"
 #include "gooseberrylift/internal/gooseberrylift-timer-service.h"
 
@@ -115,11 +115,11 @@
   const HttpRequest& Request() const override { return request_; }
   HttpRequest& MutableRequest() override { return request_; }
   const std::string& Peer() const override { return peer_; }
-  bool Started() const override { return started_; }
+  bool ResponseStarted() const override { return started_; }
   AbortReason Reason() const override { return reason_; }
   void KeepRunningWithoutCaller() override { keepRunning_ = true; }
 
-  void Drop() override
+  void Disconnect() override
   {
     started_ = true; // nothing is to be sent any more
     reusable_ = false;
@@ -151,7 +151,7 @@
     if (request_.method_ == "HEAD") {
       message.body().clear();
     }
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await http::async_write(socket_, serializer, kAwait);
     NoteStall(guard);
@@ -169,7 +169,7 @@
     started_ = true;
     streamKeepsAlive_ = message.keep_alive();
     http::response_serializer<http::empty_body> serializer(message);
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await http::async_write_header(socket_, serializer, kAwait);
     co_return !code;
@@ -180,7 +180,7 @@
     if (aPiece.empty()) {
       co_return true; // an empty chunk would end the stream
     }
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] = co_await asio::async_write(
       socket_,
       http::make_chunk(asio::const_buffer(aPiece.data(), aPiece.size())),
@@ -191,7 +191,7 @@
 
   asio::awaitable<bool> Finish() override
   {
-    const OpGuard guard = WriteGuard();
+    const SocketDeadline guard = WriteGuard();
     const auto [code, size] =
       co_await asio::async_write(socket_, http::make_chunk_last(), kAwait);
     reusable_ = !code && streamKeepsAlive_;
@@ -217,14 +217,14 @@
     return idle_ && socket_.available(ignored) == 0;
   }
 
-  OpGuard WriteGuard()
+  SocketDeadline WriteGuard()
   {
     return { socket_,
              socket_.get_executor(),
              TimerService::Now() + server_->options_.writeTimeout_ };
   }
 
-  void NoteStall(const OpGuard& aGuard)
+  void NoteStall(const SocketDeadline& aGuard)
   {
     if (aGuard.Expired() && reason_ == AbortReason::kNone) {
       reason_ = AbortReason::kCallerStalled;
@@ -265,9 +265,10 @@
   asio::awaitable<bool> WaitForBytes()
   {
     idle_ = true;
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->Limits().idleTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->Limits().idleTimeout_);
     const auto [code, size] =
       co_await socket_.async_read_some(buffer_.prepare(kReadBytes), kAwait);
     idle_ = false;
@@ -278,9 +279,10 @@
   asio::awaitable<bool> ReadHeader(
     http::request_parser<http::string_body>& aParser)
   {
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->Limits().headerTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->Limits().headerTimeout_);
     const auto [code, size] =
       co_await http::async_read_header(socket_, buffer_, aParser, kAwait);
     if (code) {
@@ -296,9 +298,10 @@
       http::response<http::empty_body> proceed(http::status::continue_, 11);
       co_await http::async_write(socket_, proceed, kAwait);
     }
-    const OpGuard guard(socket_,
-                        socket_.get_executor(),
-                        TimerService::Now() + server_->options_.bodyTimeout_);
+    const SocketDeadline guard(socket_,
+                               socket_.get_executor(),
+                               TimerService::Now() +
+                                 server_->options_.bodyTimeout_);
     const auto [code, size] =
       co_await http::async_read(socket_, buffer_, aParser, kAwait);
     if (code) {
@@ -335,7 +338,7 @@
     boost::system::error_code ignored;
     socket_.cancel(ignored);
     if (!started_ && reason_ != AbortReason::kCallerLeft) {
-      Error error = MakeError(CodeOf(reason_, ResultCode::kInternal));
+      Error error = MakeError(ResultCodeOf(reason_, ResultCode::kInternal));
       error.ran_ = RanState::kUnknown;
       co_await Send(ErrorResponse(error, {}));
     }
@@ -386,7 +389,7 @@
   {
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    const OpGuard guard(
+    const SocketDeadline guard(
       socket_, socket_.get_executor(), TimerService::Now() + kLinger);
     std::array<char, kReadBytes> sink;
     while (true) {
--- a/src/net/gooseberrylift-http.cc
+++ b/src/net/gooseberrylift-http.cc
@@ -36,7 +36,7 @@
   return target.substr(0, target.find('?'));
 }
 
-std::string_view HttpRequest::Query(std::string_view aName) const
+std::string_view HttpRequest::QueryParameter(std::string_view aName) const
 {
   std::string_view rest = target_;
   const std::size_t mark = rest.find('?');
@@ -52,7 +52,7 @@
   return {};
 }
 
-bool IsAnswerTo(const HttpResponse& aHead, std::string_view aRequestId)
+bool IsResponseTo(const HttpResponse& aHead, std::string_view aRequestId)
 {
   return aHead.Field("X-Request-Id") == aRequestId;
 }
--- a/src/runtime/gooseberrylift-burn-recorder.cc
+++ b/src/runtime/gooseberrylift-burn-recorder.cc
@@ -54,15 +54,15 @@
   return document;
 }
 
-void BurnRecorder::AddRoutes(AdminFront& aFront)
+void BurnRecorder::AddRoutes(AdminApi& aAdminApi)
 {
-  aFront.Add("GET",
-             "/report/burn",
-             [this](HttpExchange& aExchange) -> asio::awaitable<void> {
-               HttpResponse response =
-                 JsonResponse(200, SerializeBurnDocument(Document()));
-               co_await aExchange.Send(std::move(response));
-             });
+  aAdminApi.Add("GET",
+                "/report/burn",
+                [this](HttpExchange& aExchange) -> asio::awaitable<void> {
+                  HttpResponse response =
+                    JsonResponse(200, SerializeBurnDocument(Document()));
+                  co_await aExchange.Send(std::move(response));
+                });
 }
 
 } // namespace gooseberrylift
--- a/src/runtime/gooseberrylift-config-follower.cc
+++ b/src/runtime/gooseberrylift-config-follower.cc
@@ -132,15 +132,15 @@
   if (aObject.name_ != kConfigurationName) {
     return false;
   }
-  return OfferText(
+  return ApplyTextIfNewer(
     aObject.spec_.value("generation", std::uint64_t{ 0 }),
     aObject.spec_.value("configuration", nlohmann::json::object()).dump(),
     ConfigSource::kStore);
 }
 
-bool ConfigFollower::OfferText(std::uint64_t aGeneration,
-                               const std::string& aText,
-                               ConfigSource aSource)
+bool ConfigFollower::ApplyTextIfNewer(std::uint64_t aGeneration,
+                                      const std::string& aText,
+                                      ConfigSource aSource)
 {
   const std::lock_guard lock(mutex_);
   const auto current = board_.configuration_.Read()->configuration_;
--- a/src/runtime/gooseberrylift-job-runner.cc
+++ b/src/runtime/gooseberrylift-job-runner.cc
@@ -78,7 +78,7 @@
   , board_(aBoard)
   , executor_(std::move(aExecutor))
   , options_(aOptions)
-  , book_(JobBook::Options{})
+  , jobCache_(JobCache::Options{})
 {
 }
 
@@ -89,10 +89,10 @@
   SpawnTask(asio::make_strand(executor_), SweepLoop());
 }
 
-bool JobRunner::HasRoom(const std::string& aTeam) const
+bool JobRunner::CanAddJob(const std::string& aTeam) const
 {
   const std::lock_guard lock(mutex_);
-  return book_.HasRoom(aTeam);
+  return jobCache_.CanAddJob(aTeam);
 }
 
 asio::awaitable<void> JobRunner::Follow()
@@ -114,7 +114,7 @@
   }
   {
     const std::lock_guard lock(mutex_);
-    book_.Clear();
+    jobCache_.Clear();
   }
   for (const StoreObject& object : list.value().items_) {
     Note(object);
@@ -125,7 +125,7 @@
     [this](const StoreEvent& aEvent) {
       if (aEvent.deleted_) {
         const std::lock_guard lock(mutex_);
-        book_.OnDeleted(aEvent.object_.name_);
+        jobCache_.OnDeleted(aEvent.object_.name_);
       } else {
         Note(aEvent.object_);
       }
@@ -139,7 +139,7 @@
 {
   const JobRecord record = JobRecord::Parse(aObject.spec_);
   const std::lock_guard lock(mutex_);
-  book_.OnJob(aObject.name_, record);
+  jobCache_.OnUpdated(aObject.name_, record);
 }
 
 asio::awaitable<void> JobRunner::PickLoop()
@@ -163,11 +163,11 @@
     if (running_.size() >= options_.maxRunning_) {
       return;
     }
-    id = book_.Pick(running_, WallNow(), Draw());
+    id = jobCache_.Pick(running_, WallNow(), Draw());
     if (!id) {
       return;
     }
-    running_[*id] = book_.TeamOf(*id);
+    running_[*id] = jobCache_.TeamOf(*id);
   }
   SpawnTask(
     asio::make_strand(executor_),
@@ -183,7 +183,7 @@
     std::vector<std::string> expired;
     {
       const std::lock_guard lock(mutex_);
-      expired = book_.Expired(WallNow());
+      expired = jobCache_.Expired(WallNow());
     }
     for (const std::string& id : expired) {
       const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
@@ -218,19 +218,19 @@
   if (!read) {
     if (read.error().code_ == ResultCode::kStoreNotFound) {
       const std::lock_guard lock(mutex_);
-      book_.OnDeleted(aId);
+      jobCache_.OnDeleted(aId);
     }
     co_return nullptr;
   }
   StoredJob job = read.value();
-  if (!job.record_.Claimable(WallNow())) {
+  if (!job.record_.IsClaimable(WallNow())) {
     const std::lock_guard lock(mutex_);
-    book_.OnJob(aId, job.record_);
+    jobCache_.OnUpdated(aId, job.record_);
     co_return nullptr;
   }
   job.record_.state_ = JobState::kRunning;
   job.record_.holder_ = MakeNonce();
-  job.record_.leaseUntil_ = WallNow() + options_.lease_;
+  job.record_.leaseUntil_ = WallNow() + options_.leaseDuration_;
   ++job.record_.claims_;
   const auto written = co_await store_.Update(std::move(job), deadline);
   if (!written) {
@@ -246,13 +246,13 @@
 asio::awaitable<void> JobRunner::Renew(std::shared_ptr<Claim> aClaim)
 {
   while (true) {
-    co_await TimerService::SleepFor(options_.lease_ / 3);
+    co_await TimerService::SleepFor(options_.leaseDuration_ / 3);
     if (aClaim->ended_ || aClaim->lost_) {
       co_return;
     }
     aClaim->renewing_ = true;
     StoredJob next = aClaim->job_;
-    next.record_.leaseUntil_ = WallNow() + options_.lease_;
+    next.record_.leaseUntil_ = WallNow() + options_.leaseDuration_;
     const TimePoint deadline = TimerService::Now() + options_.callTimeout_;
     const auto written = co_await store_.Update(std::move(next), deadline);
     if (written) {
@@ -344,11 +344,11 @@
   if (!done) {
     co_return done.error();
   }
-  co_return WholeModelAnswer(model,
-                             aClaim->job_.id_,
-                             sink.text_,
-                             sink.finishReason_,
-                             done.value().tokens_);
+  co_return MakeModelResponse(model,
+                              aClaim->job_.id_,
+                              sink.text_,
+                              sink.finishReason_,
+                              done.value().tokens_);
 }
 
 // Stores the end. As long as the store can't be reached the result is kept and
--- a/src/runtime/gooseberrylift-log-sink.cc
+++ b/src/runtime/gooseberrylift-log-sink.cc
@@ -5,7 +5,7 @@
 
 namespace gooseberrylift {
 
-bool WriteWithoutWaiting(int aDescriptor, std::string aLine)
+bool WriteNonBlocking(int aDescriptor, std::string aLine)
 {
   aLine += '\n';
   if (aLine.size() > kLongestLogLine) {
--- a/src/runtime/gooseberrylift-log-sink.h
+++ b/src/runtime/gooseberrylift-log-sink.h
@@ -15,7 +15,7 @@
 /// that hangs then costs lines and not requests: a write to a full pipe would
 /// hold up every request of the process.
 /// @return false when the line was left out
-bool WriteWithoutWaiting(int aDescriptor, std::string aLine);
+bool WriteNonBlocking(int aDescriptor, std::string aLine);
 
 } // namespace gooseberrylift
 
--- a/src/runtime/gooseberrylift-log.cc
+++ b/src/runtime/gooseberrylift-log.cc
@@ -91,7 +91,7 @@
                 "store-reading",
                 "The host begins or ends to read the store for itself and "
                 "others; in between it hears from them what they read." },
-  LogEventInfo{ kZoneSummed,
+  LogEventInfo{ kZoneAggregatorChanged,
                 LogLevel::kInfo,
                 "zone-summed",
                 "The host begins or ends to tell other availability zones what "
@@ -108,7 +108,7 @@
                 LogLevel::kWarning,
                 "entry-refused",
                 "An endpoint's entry in the store is wrong and was left out." },
-  LogEventInfo{ kEndpointReborn,
+  LogEventInfo{ kEndpointRestarted,
                 LogLevel::kInfo,
                 "endpoint-reborn",
                 "An endpoint started again under the id that it had; what was "
@@ -148,7 +148,7 @@
                 "request-refused",
                 "A request was refused without being sent; the fields give "
                 "what decided it." },
-  LogEventInfo{ kRequestSuspected,
+  LogEventInfo{ kPoisonRequestDetected,
                 LogLevel::kWarning,
                 "request-suspected",
                 "A request ended two endpoints; all hosts refuse it now." },
@@ -165,7 +165,7 @@
                 "peer-refused",
                 "A message from another host was refused: wrong signature, "
                 "sent twice, or clocks that differ." },
-  LogEventInfo{ kPeerWordsFailed,
+  LogEventInfo{ kLoadPortUnavailable,
                 LogLevel::kError,
                 "peer-words-failed",
                 "The port for words of load could not be had; hosts hear of "
@@ -231,7 +231,7 @@
 protected:
   void handle(const el::LogDispatchData* aData) override
   {
-    if (!WriteWithoutWaiting(STDOUT_FILENO, aData->logMessage()->message())) {
+    if (!WriteNonBlocking(STDOUT_FILENO, aData->logMessage()->message())) {
       sUnwritten.fetch_add(1, std::memory_order_relaxed);
     }
   }
--- a/src/runtime/gooseberrylift-model-runner.cc
+++ b/src/runtime/gooseberrylift-model-runner.cc
@@ -91,7 +91,7 @@
     return std::nullopt;
   }
   const bool notRun =
-    aHead.Field("X-Not-Run") == "true" && IsAnswerTo(aHead, aRequestId);
+    aHead.Field("X-Not-Run") == "true" && IsResponseTo(aHead, aRequestId);
   return Error{ .code_ = notRun ? ResultCode::kEndpointRefused
                                 : ResultCode::kEndpointBroken,
                 .text_ = "the engine answered " + std::to_string(aHead.status_),
@@ -254,7 +254,7 @@
   }
   const HttpResponse& head = call.value()->Head();
   if (head.Field("X-Endpoint-State") == "leaving" &&
-      IsAnswerTo(head, aGeneration.requestId_)) {
+      IsResponseTo(head, aGeneration.requestId_)) {
     tracker_.ReportLeaving(aPlacement.Endpoint().name_);
   }
   if (auto fault = FaultOfHead(head, aGeneration.requestId_)) {
@@ -312,7 +312,7 @@
         co_return taken.error();
       }
     }
-    const bool reading = co_await aSink.OnPause();
+    const bool reading = co_await aSink.Flush();
     if (!reading) {
       aProgress.callerLeft_ = true;
       co_return Error{ .code_ = ResultCode::kCallerLeft,
--- a/src/runtime/gooseberrylift-once-ledger.cc
+++ b/src/runtime/gooseberrylift-once-ledger.cc
@@ -105,7 +105,7 @@
 
   struct Step
   {
-    std::optional<OnceIo> io_;
+    std::optional<OnceStoreCall> io_;
     std::optional<TimePoint> wake_;
   };
 
@@ -130,21 +130,21 @@
   {
     const std::lock_guard lock(mutex_);
     Step step{
-      .io_ = committer_.NextIo(TimerService::Now(),
-                               std::chrono::system_clock::now()),
+      .io_ = committer_.NextStoreCall(TimerService::Now(),
+                                      std::chrono::system_clock::now()),
     };
     Deliver();
     if (!step.io_) {
-      step.wake_ = committer_.WakeAt();
+      step.wake_ = committer_.NextWakeTime();
       pumping_ = step.wake_.has_value();
     }
     return step;
   }
 
-  asio::awaitable<void> Perform(OnceIo aIo)
+  asio::awaitable<void> Perform(OnceStoreCall aIo)
   {
     const TimePoint deadline = TimerService::Now() + callTimeout_;
-    if (aIo.kind_ == OnceIoKind::kRead) {
+    if (aIo.kind_ == OnceStoreCallKind::kRead) {
       const auto read = co_await store_.Read(kOnceKind, name_, deadline);
       NoteRead(read);
       co_return;
@@ -153,7 +153,7 @@
                         .name_ = name_,
                         .version_ = std::move(aIo.version_),
                         .spec_ = std::move(aIo.spec_) };
-    if (aIo.kind_ == OnceIoKind::kCreate) {
+    if (aIo.kind_ == OnceStoreCallKind::kCreate) {
       const auto made = co_await store_.Create(std::move(object), deadline);
       NoteWrite(made);
       co_return;
@@ -168,7 +168,7 @@
     if (aRead) {
       committer_.OnRead(aRead.value().version_, aRead.value().spec_);
     } else if (aRead.error().code_ == ResultCode::kStoreNotFound) {
-      committer_.OnAbsent();
+      committer_.OnNotFound();
     } else {
       committer_.OnFailed(RanState::kNo, TimerService::Now());
     }
--- a/src/runtime/gooseberrylift-once-runner.cc
+++ b/src/runtime/gooseberrylift-once-runner.cc
@@ -167,15 +167,15 @@
   const auto attempt = std::make_shared<Attempt>(std::move(aCall), caller);
   const ServiceCall& call = attempt->call_;
   const std::string key =
-    DigestOf({ call.info_.team_, call.info_.service_, aKey });
-  const std::string digest = DigestOf(
+    ComputeDigest({ call.info_.team_, call.info_.service_, aKey });
+  const std::string digest = ComputeDigest(
     { call.request_.method_, call.request_.target_, call.request_.body_ });
   const auto lease = attempt->deadline_ - TimerService::Now();
   attempt->bucket_ = BucketOf(key);
   attempt->intent_ = { .key_ = EncodeBase64(key),
                        .digest_ = EncodeBase64(digest),
                        .nonce_ = MakeNonce(),
-                       .until_ =
+                       .leaseUntil_ =
                          std::chrono::system_clock::now() +
                          std::chrono::duration_cast<milliseconds>(lease) +
                          options_.leaseSlack_ };
@@ -204,8 +204,8 @@
 asio::awaitable<void> OnceRunner::Work(std::shared_ptr<Attempt> aAttempt)
 {
   const OnceReply claim = co_await Claim(aAttempt);
-  const bool begun =
-    claim.committed_ && claim.decision_.verdict_ == OnceVerdict::kBegun;
+  const bool begun = claim.committed_ &&
+                     claim.beginResult_.beginStatus_ == OnceBeginStatus::kBegun;
   if (begun) {
     auto outcome = co_await Dispatch(aAttempt);
     Record(*aAttempt, outcome);
@@ -233,8 +233,8 @@
       std::min<TimePoint::duration>(half, options_.storeLimit_);
     OnceOp op = aAttempt->MakeOp(OnceOpKind::kBegin, now + limit);
     reply = co_await ledger_.Commit(aAttempt->bucket_, std::move(op));
-    const bool waits =
-      reply.committed_ && reply.decision_.verdict_ == OnceVerdict::kPending;
+    const bool waits = reply.committed_ && reply.beginResult_.beginStatus_ ==
+                                             OnceBeginStatus::kPending;
     if (!waits || aAttempt->Abandoned() ||
         TimerService::Now() + pause >= aAttempt->deadline_) {
       break;
@@ -249,7 +249,7 @@
   std::shared_ptr<Attempt> aAttempt)
 {
   ServiceCall call = std::move(aAttempt->call_);
-  call.repeatable_ = false;
+  call.retryable_ = false;
   call.mayDispatch_ = [aAttempt] { return aAttempt->EnterDispatch(); };
   auto answer = co_await services_.Run(std::move(call));
   if (!answer) {
@@ -297,9 +297,9 @@
     return;
   }
   OnceOp op = aAttempt.MakeOp(OnceOpKind::kFinish, until);
-  op.writeAt_ = TimerService::Now() + options_.recordAfter_;
+  op.flushAt_ = TimerService::Now() + options_.recordAfter_;
   const bool ran = aOutcome || aOutcome.error().ran_ == RanState::kYes;
-  op.state_ = ran ? OnceState::kDone : OnceState::kLost;
+  op.state_ = ran ? OnceState::kDone : OnceState::kOutcomeUnknown;
   if (aOutcome && aOutcome.value().body_.size() <= options_.maxResultBytes_) {
     op.result_ = EncodeResult(aOutcome.value());
   }
@@ -313,9 +313,9 @@
     return Error{ .code_ = ResultCode::kOnceStoreUnavailable,
                   .retryAfter_ = kRetryAfter };
   }
-  switch (aReply.decision_.verdict_) {
-    case OnceVerdict::kReplay: {
-      auto response = DecodeResult(aReply.decision_.result_);
+  switch (aReply.beginResult_.beginStatus_) {
+    case OnceBeginStatus::kReplay: {
+      auto response = DecodeResult(aReply.beginResult_.result_);
       if (!response) {
         break;
       }
@@ -323,20 +323,20 @@
       response->fields_.push_back({ "Idempotency-Replayed", "true" });
       return std::move(*response);
     }
-    case OnceVerdict::kPending:
+    case OnceBeginStatus::kPending:
       return Error{ .code_ = ResultCode::kOncePending,
                     .ran_ = RanState::kUnknown,
                     .retryAfter_ = kRetryAfter };
-    case OnceVerdict::kUnknown:
+    case OnceBeginStatus::kUnknown:
       return Error{ .code_ = ResultCode::kOnceUnknown,
                     .ran_ = RanState::kUnknown };
-    case OnceVerdict::kOtherRequest:
+    case OnceBeginStatus::kKeyReused:
       return Error{ .code_ = ResultCode::kOnceKeyReused };
-    case OnceVerdict::kFull:
+    case OnceBeginStatus::kBucketFull:
       return Error{ .code_ = ResultCode::kOnceBucketFull,
                     .retryAfter_ = std::chrono::minutes(1) };
-    case OnceVerdict::kResultDropped:
-    case OnceVerdict::kBegun:
+    case OnceBeginStatus::kResultDropped:
+    case OnceBeginStatus::kBegun:
       break;
   }
   return Error{ .code_ = ResultCode::kOnceResultDropped,
--- a/src/runtime/gooseberrylift-peer-exchange.cc
+++ b/src/runtime/gooseberrylift-peer-exchange.cc
@@ -428,7 +428,7 @@
 
 // News goes out at once instead of with the next round, so that it crosses the
 // fleet in round trips, not in rounds.
-void PeerExchange::TellNews()
+void PeerExchange::AnnounceConfiguration()
 {
   if (!started_) {
     return;
@@ -442,7 +442,7 @@
   StartExchanges(peers);
 }
 
-void PeerExchange::TellNear()
+void PeerExchange::ExchangeInScope()
 {
   if (!started_) {
     return;
@@ -474,7 +474,7 @@
     known = table_->EstimateOtherHosts();
   }
   alone_ = live.empty();
-  parts_.publish_({ .digests_ = std::move(live), .known_ = known });
+  parts_.onPeersChanged_({ .digests_ = std::move(live), .known_ = known });
 }
 
 } // namespace gooseberrylift
--- a/src/runtime/gooseberrylift-service-runner.cc
+++ b/src/runtime/gooseberrylift-service-runner.cc
@@ -40,7 +40,7 @@
     placement.value().Finish(
       { .endpointAtFault_ = failure.code_ != ResultCode::kCallerLeft });
     const bool untaken = failure.ran_ == RanState::kNo;
-    if ((!untaken && !aCall.repeatable_) ||
+    if ((!untaken && !aCall.retryable_) ||
         failure.code_ == ResultCode::kCallerLeft ||
         failure.code_ == ResultCode::kDeadlineExceeded) {
       break;
@@ -60,8 +60,8 @@
   // A kept connection may have been closed by the other side just now, and a
   // call that dies on it may or may not have run. A call that can't be
   // repeated therefore gets a connection of its own.
-  const HttpClient::CallOptions options{ .freshConnection_ =
-                                           !aCall.repeatable_ };
+  const HttpClient::CallOptions options{ .forceNewConnection_ =
+                                           !aCall.retryable_ };
   if (aCall.mayDispatch_ && !aCall.mayDispatch_()) {
     co_return Error{ .code_ = ResultCode::kDeadlineExceeded };
   }
@@ -76,7 +76,7 @@
   const HttpResponse& head = call.value()->Head();
   // Looked at before anything the answer says: a crossed refusal must not prove
   // that this call did not run, or a repeat of it would run twice.
-  if (!IsAnswerTo(head, aCall.requestId_)) {
+  if (!IsResponseTo(head, aCall.requestId_)) {
     co_return Error{ .code_ = ResultCode::kEndpointCrossed,
                      .ran_ = RanState::kUnknown };
   }
--- a/test/core/gooseberrylift-fleet-load-test.cc
+++ b/test/core/gooseberrylift-fleet-load-test.cc
@@ -65,7 +65,7 @@
   LONGS_EQUAL(0, load_.SilentFor("engine", now_).count());
   load_.OnSent("engine", 1, {}, now_);
   LONGS_EQUAL(700, load_.SilentFor("engine", now_ + 700ms).count());
-  load_.OnHeard("engine", now_ + 600ms);
+  load_.OnDataReceived("engine", now_ + 600ms);
   LONGS_EQUAL(100, load_.SilentFor("engine", now_ + 700ms).count());
 }
 
--- a/test/core/gooseberrylift-fleet-placement-test.cc
+++ b/test/core/gooseberrylift-fleet-placement-test.cc
@@ -84,7 +84,7 @@
   candidates_[0].load_ = { .running_ = 4, .tightGap_ = 4 };
   STRCMP_EQUAL("0", Choose(ShortRequest())->endpoint_->id_.c_str());
   const auto choice = Choose(LongRequest(200'000));
-  CHECK_TRUE(choice->long_);
+  CHECK_TRUE(choice->slowsDecoding_);
   CHECK_TRUE(choice->endpoint_->id_ != "0");
   for (const ListedEndpoint* helper : choice->helpers_) {
     CHECK_TRUE(helper->id_ != "0");
--- a/test/core/gooseberrylift-job-test.cc
+++ b/test/core/gooseberrylift-job-test.cc
@@ -19,12 +19,12 @@
 
 TEST_GROUP(JobTest)
 {
-  JobBook book_{ { .maxWaitingPerTeam_ = 2 } };
+  JobCache jobCache_{ { .maxWaitingPerTeam_ = 2 } };
 
   std::string Pick(const std::map<std::string, std::string>& aRunning,
                    WallTime aNow = kNow)
   {
-    return book_.Pick(aRunning, aNow, 7).value_or("");
+    return jobCache_.Pick(aRunning, aNow, 7).value_or("");
   }
 };
 
@@ -35,11 +35,11 @@
   JobRecord job = Queued("one");
   job.state_ = JobState::kRunning;
   job.leaseUntil_ = kNow + std::chrono::seconds(10);
-  book_.OnJob("a", job);
+  jobCache_.OnUpdated("a", job);
   STRCMP_EQUAL("", Pick({}).c_str());
   STRCMP_EQUAL("a", Pick({}, kNow + std::chrono::seconds(10)).c_str());
-  CHECK_FALSE(job.Claimable(kNow));
-  CHECK_TRUE(job.Claimable(kNow + std::chrono::seconds(10)));
+  CHECK_FALSE(job.IsClaimable(kNow));
+  CHECK_TRUE(job.IsClaimable(kNow + std::chrono::seconds(10)));
 }
 
 // One team has put in many jobs before another's single one. If jobs were taken
@@ -47,9 +47,9 @@
 TEST(JobTest, PrefersTheTeamWithFewerJobsRunning)
 {
   for (const char* id : { "a", "b", "c" }) {
-    book_.OnJob(id, Queued("large"));
+    jobCache_.OnUpdated(id, Queued("large"));
   }
-  book_.OnJob("d", Queued("small"));
+  jobCache_.OnUpdated("d", Queued("small"));
   STRCMP_EQUAL("d", Pick({ { "a", "large" } }).c_str());
 }
 
@@ -59,22 +59,22 @@
        { JobState::kStoring, JobState::kDone, JobState::kFailed }) {
     JobRecord job = Queued("one");
     job.state_ = state;
-    book_.OnJob(JobStateName(state), job);
+    jobCache_.OnUpdated(JobStateName(state), job);
   }
   JobRecord expired = Queued("one");
   expired.expires_ = kNow;
-  book_.OnJob("expired", expired);
+  jobCache_.OnUpdated("expired", expired);
   STRCMP_EQUAL("", Pick({}).c_str());
-  LONGS_EQUAL(1, book_.Expired(kNow).size());
+  LONGS_EQUAL(1, jobCache_.Expired(kNow).size());
 }
 
 TEST(JobTest, BoundsTheWaitingJobsOfATeam)
 {
-  book_.OnJob("a", Queued("one"));
-  CHECK_TRUE(book_.HasRoom("one"));
-  book_.OnJob("b", Queued("one"));
-  CHECK_FALSE(book_.HasRoom("one"));
-  CHECK_TRUE(book_.HasRoom("two"));
+  jobCache_.OnUpdated("a", Queued("one"));
+  CHECK_TRUE(jobCache_.CanAddJob("one"));
+  jobCache_.OnUpdated("b", Queued("one"));
+  CHECK_FALSE(jobCache_.CanAddJob("one"));
+  CHECK_TRUE(jobCache_.CanAddJob("two"));
 }
 
 TEST(JobTest, SurvivesAWriteAndARead)
