--- a/test/core/gooseberrylift-once-test.cc
+++ b/test/core/gooseberrylift-once-test.cc
@@ -22,7 +22,7 @@
   return { .key_ = aKey,
            .digest_ = aDigest,
            .nonce_ = aNonce,
-           .until_ = kWall + std::chrono::seconds(10) };
+           .leaseUntil_ = kWall + std::chrono::seconds(10) };
 }
 
 OnceOp Op(OnceOpKind aKind, const OnceIntent& aIntent)
@@ -39,10 +39,10 @@
   int version_ = 0; // 0: absent
   json spec_;
 
-  bool Write(const OnceIo& aIo)
+  bool Write(const OnceStoreCall& aIo)
   {
     const std::string expected =
-      aIo.kind_ == OnceIoKind::kCreate ? "0" : aIo.version_;
+      aIo.kind_ == OnceStoreCallKind::kCreate ? "0" : aIo.version_;
     if (expected != std::to_string(version_)) {
       return false;
     }
@@ -53,11 +53,13 @@
 };
 
 // Makes a call without faults.
-void Perform(OnceCommitter& aCommitter, const OnceIo& aIo, ModelStore& aStore)
+void Perform(OnceCommitter& aCommitter,
+             const OnceStoreCall& aIo,
+             ModelStore& aStore)
 {
-  if (aIo.kind_ == OnceIoKind::kRead) {
+  if (aIo.kind_ == OnceStoreCallKind::kRead) {
     if (aStore.version_ == 0) {
-      aCommitter.OnAbsent();
+      aCommitter.OnNotFound();
     } else {
       aCommitter.OnRead(std::to_string(aStore.version_), aStore.spec_);
     }
@@ -73,22 +75,22 @@
                              TimePoint aNow = kNow,
                              WallTime aWall = kWall)
 {
-  while (const auto io = aCommitter.NextIo(aNow, aWall)) {
+  while (const auto io = aCommitter.NextStoreCall(aNow, aWall)) {
     Perform(aCommitter, *io, aStore);
   }
   return aCommitter.TakeReplies();
 }
 
-OnceVerdict BeginAt(OnceCommitter& aCommitter,
-                    ModelStore& aStore,
-                    const OnceIntent& aIntent,
-                    WallTime aWall = kWall)
+OnceBeginStatus BeginAt(OnceCommitter& aCommitter,
+                        ModelStore& aStore,
+                        const OnceIntent& aIntent,
+                        WallTime aWall = kWall)
 {
   aCommitter.Submit(Op(OnceOpKind::kBegin, aIntent));
   const auto replies = Drain(aCommitter, aStore, kNow, aWall);
   LONGS_EQUAL(1, replies.size());
   CHECK_TRUE(replies.front().committed_);
-  return replies.front().decision_.verdict_;
+  return replies.front().beginResult_.beginStatus_;
 }
 
 } // namespace
@@ -99,7 +101,7 @@
   OnceCommitter one_{ OnceCommitter::Options{} };
   OnceCommitter two_{ OnceCommitter::Options{} };
 
-  void CheckVerdict(OnceVerdict aExpected, OnceVerdict aSeen)
+  void CheckVerdict(OnceBeginStatus aExpected, OnceBeginStatus aSeen)
   {
     LONGS_EQUAL(static_cast<int>(aExpected), static_cast<int>(aSeen));
   }
@@ -107,9 +109,12 @@
 
 TEST(OnceTest, GivesAKeyToOneAttemptOnly)
 {
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(one_, store_, Intent("k", "a")));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(two_, store_, Intent("k", "b")));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(one_, store_, Intent("k", "c")));
+  CheckVerdict(OnceBeginStatus::kBegun,
+               BeginAt(one_, store_, Intent("k", "a")));
+  CheckVerdict(OnceBeginStatus::kPending,
+               BeginAt(two_, store_, Intent("k", "b")));
+  CheckVerdict(OnceBeginStatus::kPending,
+               BeginAt(one_, store_, Intent("k", "c")));
 }
 
 // The owner dies after its intent. The caller sends again once the lease is
@@ -119,7 +124,7 @@
 {
   BeginAt(one_, store_, Intent("k", "a"));
   const WallTime later = kWall + std::chrono::hours(23);
-  CheckVerdict(OnceVerdict::kUnknown,
+  CheckVerdict(OnceBeginStatus::kUnknown,
                BeginAt(two_, store_, Intent("k", "b"), later));
 }
 
@@ -130,14 +135,15 @@
   Drain(one_, store_);
   two_.Submit(Op(OnceOpKind::kBegin, Intent("k", "b")));
   const auto replies = Drain(two_, store_);
-  CheckVerdict(OnceVerdict::kReplay, replies.front().decision_.verdict_);
-  STRCMP_EQUAL("result", replies.front().decision_.result_.c_str());
+  CheckVerdict(OnceBeginStatus::kReplay,
+               replies.front().beginResult_.beginStatus_);
+  STRCMP_EQUAL("result", replies.front().beginResult_.result_.c_str());
 }
 
 TEST(OnceTest, RefusesTheSameKeyWithAnotherRequest)
 {
   BeginAt(one_, store_, Intent("k", "a"));
-  CheckVerdict(OnceVerdict::kOtherRequest,
+  CheckVerdict(OnceBeginStatus::kKeyReused,
                BeginAt(two_, store_, Intent("k", "b", "other")));
 }
 
@@ -146,7 +152,8 @@
   BeginAt(one_, store_, Intent("k", "a"));
   one_.Submit(Op(OnceOpKind::kRelease, Intent("k", "a")));
   Drain(one_, store_);
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "b")));
+  CheckVerdict(OnceBeginStatus::kBegun,
+               BeginAt(two_, store_, Intent("k", "b")));
 }
 
 // A host keeps its copy of the bucket. If it decided on that copy, a key that
@@ -154,10 +161,12 @@
 TEST(OnceTest, LooksAgainBeforeItSaysThatAKeyIsTaken)
 {
   BeginAt(one_, store_, Intent("k", "a"));
-  CheckVerdict(OnceVerdict::kPending, BeginAt(two_, store_, Intent("k", "b")));
+  CheckVerdict(OnceBeginStatus::kPending,
+               BeginAt(two_, store_, Intent("k", "b")));
   one_.Submit(Op(OnceOpKind::kRelease, Intent("k", "a")));
   Drain(one_, store_);
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "c")));
+  CheckVerdict(OnceBeginStatus::kBegun,
+               BeginAt(two_, store_, Intent("k", "c")));
 }
 
 TEST(OnceTest, WritesWhatGatheredInOneCall)
@@ -175,10 +184,10 @@
 {
   BeginAt(one_, store_, Intent("k", "a"));
   OnceOp outcome = Op(OnceOpKind::kFinish, Intent("k", "a"));
-  outcome.writeAt_ = kNow + milliseconds(20);
+  outcome.flushAt_ = kNow + milliseconds(20);
   one_.Submit(outcome);
-  CHECK_FALSE(one_.NextIo(kNow, kWall).has_value());
-  CHECK_TRUE(one_.WakeAt() == kNow + milliseconds(20));
+  CHECK_FALSE(one_.NextStoreCall(kNow, kWall).has_value());
+  CHECK_TRUE(one_.NextWakeTime() == kNow + milliseconds(20));
   one_.Submit(Op(OnceOpKind::kBegin, Intent("other", "b")));
   LONGS_EQUAL(2, Drain(one_, store_).size());
   LONGS_EQUAL(2, store_.version_);
@@ -191,13 +200,14 @@
 TEST(OnceTest, SettlesALostAnswerByReadingBack)
 {
   one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  const auto write = one_.NextIo(kNow, kWall);
+  Perform(one_, *one_.NextStoreCall(kNow, kWall), store_);
+  const auto write = one_.NextStoreCall(kNow, kWall);
   CHECK_TRUE(store_.Write(*write));
   one_.OnFailed(RanState::kUnknown, kNow);
   const auto replies = Drain(one_, store_, kNow + std::chrono::seconds(2));
   LONGS_EQUAL(1, replies.size());
-  CheckVerdict(OnceVerdict::kBegun, replies.front().decision_.verdict_);
+  CheckVerdict(OnceBeginStatus::kBegun,
+               replies.front().beginResult_.beginStatus_);
   LONGS_EQUAL(1, store_.version_);
 }
 
@@ -207,20 +217,21 @@
 TEST(OnceTest, UndoesTheIntentOfARefusedCall)
 {
   one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  CHECK_TRUE(store_.Write(*one_.NextIo(kNow, kWall)));
+  Perform(one_, *one_.NextStoreCall(kNow, kWall), store_);
+  CHECK_TRUE(store_.Write(*one_.NextStoreCall(kNow, kWall)));
   TimePoint now = kNow;
   one_.OnFailed(RanState::kUnknown, now);
   for (int failure = 0; failure < 2; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(one_.NextIo(now, kWall).has_value());
+    CHECK_TRUE(one_.NextStoreCall(now, kWall).has_value());
     one_.OnFailed(RanState::kNo, now);
   }
   const auto refused = one_.TakeReplies();
   LONGS_EQUAL(1, refused.size());
   CHECK_FALSE(refused.front().committed_);
   Drain(one_, store_, now + std::chrono::seconds(2));
-  CheckVerdict(OnceVerdict::kBegun, BeginAt(two_, store_, Intent("k", "b")));
+  CheckVerdict(OnceBeginStatus::kBegun,
+               BeginAt(two_, store_, Intent("k", "b")));
 }
 
 // The write hangs on its way, the call is refused, and the write arrives after
@@ -229,8 +240,8 @@
 TEST(OnceTest, FencesAWriteThatArrivesAfterItsRefusal)
 {
   one_.Submit(Op(OnceOpKind::kBegin, Intent("k", "a")));
-  Perform(one_, *one_.NextIo(kNow, kWall), store_);
-  const auto late = one_.NextIo(kNow, kWall);
+  Perform(one_, *one_.NextStoreCall(kNow, kWall), store_);
+  const auto late = one_.NextStoreCall(kNow, kWall);
   TimePoint now = kNow + std::chrono::hours(2); // past the operation's deadline
   one_.OnTick(now);
   CHECK_FALSE(one_.TakeReplies().front().committed_);
@@ -244,7 +255,8 @@
   OnceOp op = Op(OnceOpKind::kBegin, Intent("k", "a"));
   op.deadline_ = kNow + milliseconds(100);
   one_.Submit(op);
-  CHECK_TRUE(one_.NextIo(kNow, kWall).has_value()); // and no answer comes
+  CHECK_TRUE(
+    one_.NextStoreCall(kNow, kWall).has_value()); // and no answer comes
   one_.OnTick(kNow + milliseconds(99));
   LONGS_EQUAL(0, one_.TakeReplies().size());
   one_.OnTick(kNow + milliseconds(100));
@@ -262,33 +274,34 @@
   TimePoint now = kNow;
   for (int failure = 0; failure < 50; ++failure) {
     now += std::chrono::seconds(2);
-    CHECK_TRUE(one_.NextIo(now, kWall).has_value());
+    CHECK_TRUE(one_.NextStoreCall(now, kWall).has_value());
     one_.OnFailed(RanState::kNo, now);
   }
   Drain(one_, store_, now + std::chrono::seconds(2));
-  CheckVerdict(OnceVerdict::kReplay, BeginAt(two_, store_, Intent("k", "b")));
+  CheckVerdict(OnceBeginStatus::kReplay,
+               BeginAt(two_, store_, Intent("k", "b")));
 }
 
 TEST(OnceTest, DropsResultsBeforeRecordsAtTheSizeLimit)
 {
   OnceBucket bucket({ .maxBytes_ = 1000 });
   int begun = 0;
-  OnceVerdict last = OnceVerdict::kBegun;
-  for (int key = 0; key < 100 && last == OnceVerdict::kBegun; ++key) {
+  OnceBeginStatus last = OnceBeginStatus::kBegun;
+  for (int key = 0; key < 100 && last == OnceBeginStatus::kBegun; ++key) {
     const std::string name = std::to_string(key);
-    last = bucket.Begin(Intent(name, "n"), kWall).verdict_;
+    last = bucket.Begin(Intent(name, "n"), kWall).beginStatus_;
     bucket.Finish(name,
                   "n",
                   OnceState::kDone,
                   std::string(300, 'r'),
                   kWall + milliseconds(key));
-    begun += last == OnceVerdict::kBegun ? 1 : 0;
+    begun += last == OnceBeginStatus::kBegun ? 1 : 0;
   }
-  CheckVerdict(OnceVerdict::kFull, last);
+  CheckVerdict(OnceBeginStatus::kBucketFull, last);
   CHECK_TRUE(begun > 5); // more than fit with their results
   LONGS_EQUAL(begun, bucket.Size());
-  CheckVerdict(OnceVerdict::kResultDropped,
-               bucket.Begin(Intent("0", "x"), kWall).verdict_);
+  CheckVerdict(OnceBeginStatus::kResultDropped,
+               bucket.Begin(Intent("0", "x"), kWall).beginStatus_);
 }
 
 TEST(OnceTest, SweepsRecordsAfterTheRetentionOnly)
@@ -335,7 +348,7 @@
     } else if (flying_[host]) {
       Land(host);
     } else {
-      flying_[host] = hosts_[host].NextIo(now_, kWall);
+      flying_[host] = hosts_[host].NextStoreCall(now_, kWall);
     }
     TakeReplies(host);
   }
@@ -367,7 +380,7 @@
 
   void Land(std::size_t aHost)
   {
-    const OnceIo io = *std::exchange(flying_[aHost], std::nullopt);
+    const OnceStoreCall io = *std::exchange(flying_[aHost], std::nullopt);
     const std::uint64_t fault = Draw(10);
     if (!late_.empty() && Draw(5) == 0) {
       store_.Write(late_.back());
@@ -375,7 +388,7 @@
     }
     if (fault == 0) {
       hosts_[aHost].OnFailed(RanState::kNo, now_);
-    } else if (fault <= 2 && io.kind_ != OnceIoKind::kRead) {
+    } else if (fault <= 2 && io.kind_ != OnceStoreCallKind::kRead) {
       if (fault == 1) {
         store_.Write(io); // took effect, nobody is told
       } else {
@@ -398,7 +411,7 @@
       attempts_[aHost].erase(found);
       if (!reply.committed_) {
         ++refused_[op.intent_.key_];
-      } else if (reply.decision_.verdict_ == OnceVerdict::kBegun) {
+      } else if (reply.beginResult_.beginStatus_ == OnceBeginStatus::kBegun) {
         End(aHost, op);
       }
     }
@@ -415,9 +428,9 @@
 
   std::mt19937_64 random_;
   std::vector<OnceCommitter> hosts_;
-  std::vector<std::optional<OnceIo>> flying_;
+  std::vector<std::optional<OnceStoreCall>> flying_;
   std::vector<std::map<std::uint64_t, OnceOp>> attempts_;
-  std::vector<OnceIo> late_;
+  std::vector<OnceStoreCall> late_;
   ModelStore store_;
   TimePoint now_ = kNow;
   std::uint64_t lastNonce_ = 0;
--- a/test/integration/gooseberrylift-dialect-test.cc
+++ b/test/integration/gooseberrylift-dialect-test.cc
@@ -16,7 +16,7 @@
 {
   HttpResponse head{ .status_ = 200 };
   head.fields_.push_back({ kServerLimit, aText });
-  return FleetDialect().ReadEndpoint(head).rate_;
+  return FleetDialect().ParseEndpointResponse(head).advertisedRateLimit_;
 }
 
 void CheckNamed(double aPerSecond, const std::string& aText)
@@ -41,7 +41,9 @@
 TEST(DialectTest, ReadsNoRateLimitWhereNoneStands)
 {
   const AdvertisedRateLimit absent =
-    FleetDialect().ReadEndpoint(HttpResponse{ .status_ = 200 }).rate_;
+    FleetDialect()
+      .ParseEndpointResponse(HttpResponse{ .status_ = 200 })
+      .advertisedRateLimit_;
   CHECK_TRUE(absent.kind_ == AdvertisedRateLimit::Kind::kNone);
   CHECK_TRUE(NoticeOf("").kind_ == AdvertisedRateLimit::Kind::kNone);
 }
--- a/test/integration/gooseberrylift-log-test.cc
+++ b/test/integration/gooseberrylift-log-test.cc
@@ -33,7 +33,7 @@
   int Fill() const
   {
     int lines = 0;
-    while (WriteWithoutWaiting(pipe_[1], std::string(999, 'x'))) {
+    while (WriteNonBlocking(pipe_[1], std::string(999, 'x'))) {
       ++lines;
     }
     return lines;
@@ -46,16 +46,16 @@
 TEST(LogSinkTest, LeavesLinesOutWhenThePipeIsFull)
 {
   CHECK_TRUE(Fill() > 10);
-  CHECK_FALSE(WriteWithoutWaiting(pipe_[1], "more"));
+  CHECK_FALSE(WriteNonBlocking(pipe_[1], "more"));
   std::string sink(1 << 20, '\0');
   CHECK_TRUE(::read(pipe_[0], sink.data(), sink.size()) > 0);
-  CHECK_TRUE(WriteWithoutWaiting(pipe_[1], "again"));
+  CHECK_TRUE(WriteNonBlocking(pipe_[1], "again"));
 }
 
 TEST(LogSinkTest, WritesLinesWholeOrNotAtAll)
 {
-  CHECK_FALSE(WriteWithoutWaiting(pipe_[1], std::string(5'000, 'x')));
-  CHECK_TRUE(WriteWithoutWaiting(pipe_[1], std::string(4'095, 'x')));
+  CHECK_FALSE(WriteNonBlocking(pipe_[1], std::string(5'000, 'x')));
+  CHECK_TRUE(WriteNonBlocking(pipe_[1], std::string(4'095, 'x')));
 }
 
 TEST_GROUP(LogTest){};
