--- a/bench/gooseberrylift-bench-fleet.cc
+++ b/bench/gooseberrylift-bench-fleet.cc
@@ -248,7 +248,7 @@
   fakes::Sequence sequence;
   sequence.priority_ = aFlight->priority_;
   sequence.promptTokens_ = tokens + aFlight->tokens_;
-  sequence.prefillLeft_ = sequence.promptTokens_;
+  sequence.prefillRemaining_ = sequence.promptTokens_;
   sequence.nextToken_ = aFlight->tokens_;
   sequence.maxTokens_ = aFlight->info_.maxTokens_;
   sequence.kvTokens_ = need;
@@ -259,11 +259,11 @@
 
 void Fleet::Step(Engine& aEngine)
 {
-  if (aEngine.stepping_ || aEngine.hangs_ || aEngine.batch_.Idle()) {
+  if (aEngine.stepping_ || aEngine.hangs_ || aEngine.batch_.IsIdle()) {
     return;
   }
   aEngine.stepping_ = true;
-  aEngine.step_ = aEngine.batch_.Advance();
+  aEngine.step_ = aEngine.batch_.BeginStep();
   const std::uint64_t epoch = aEngine.epoch_;
   At(std::max(aEngine.step_.duration_, microseconds(100)),
      [this, &aEngine, epoch] { EndStep(aEngine, epoch); });
@@ -275,7 +275,7 @@
     return;
   }
   aEngine.stepping_ = false;
-  aEngine.batch_.Deliver(aEngine.step_);
+  aEngine.batch_.FinishStep(aEngine.step_);
   std::vector<FlightPtr> finished;
   for (const std::uint64_t serial : aEngine.step_.decoded_) {
     const auto found = aEngine.flights_.find(serial);
@@ -367,12 +367,13 @@
 {
   for (const auto& engine : engines_) {
     const fakes::FakeBatch& batch = engine->batch_;
-    engine->samples_.push_back({ .at_ = now_,
-                                 .waitingTokens_ = batch.WaitingTokens(),
-                                 .running_ = static_cast<int>(batch.Running()),
-                                 .waiting_ = static_cast<int>(batch.Waiting()),
-                                 .kvTokensUsed_ = batch.KvUsed(),
-                                 .kvTokensTotal_ = batch.KvTotal() });
+    engine->samples_.push_back(
+      { .at_ = now_,
+        .waitingTokens_ = batch.WaitingTokens(),
+        .running_ = static_cast<int>(batch.CountRunning()),
+        .waiting_ = static_cast<int>(batch.CountWaiting()),
+        .kvTokensUsed_ = batch.KvUsed(),
+        .kvTokensTotal_ = batch.KvTotal() });
     while (engine->samples_.size() > 1 &&
            engine->samples_[1].at_ <= now_ - options_.reportLag_) {
       engine->samples_.pop_front();
--- a/fakes/gooseberrylift-fake-batch.cc
+++ b/fakes/gooseberrylift-fake-batch.cc
@@ -24,23 +24,23 @@
     [aSequence](const Sequence& aOther) { return &aOther == aSequence; });
 }
 
-FakeBatch::Step FakeBatch::Advance()
+FakeBatch::Step FakeBatch::BeginStep()
 {
   Admit();
   double microseconds = 0;
   if (Sequence* sequence = NextPrefill()) {
-    const auto end =
-      static_cast<double>(sequence->promptTokens_ - sequence->prefillLeft_);
+    const auto end = static_cast<double>(sequence->promptTokens_ -
+                                         sequence->prefillRemaining_);
     const std::uint64_t chunk =
-      std::min(options_.chunkTokens_, sequence->prefillLeft_);
+      std::min(options_.chunkTokens_, sequence->prefillRemaining_);
     const double next = end + static_cast<double>(chunk);
     microseconds += options_.prefillLinearUs_ * static_cast<double>(chunk) +
                     options_.prefillQuadraticUs_ * (next * next - end * end);
-    sequence->prefillLeft_ -= chunk;
+    sequence->prefillRemaining_ -= chunk;
   }
   Step step;
   for (Sequence& sequence : sequences_) {
-    if (sequence.admitted_ && sequence.prefillLeft_ == 0) {
+    if (sequence.admitted_ && sequence.prefillRemaining_ == 0) {
       step.decoded_.push_back(sequence.serial_);
     }
   }
@@ -52,7 +52,7 @@
   return step;
 }
 
-void FakeBatch::Deliver(const Step& aStep)
+void FakeBatch::FinishStep(const Step& aStep)
 {
   for (Sequence& sequence : sequences_) {
     const bool decoded = std::find(aStep.decoded_.begin(),
@@ -97,12 +97,12 @@
 {
   std::uint64_t tokens = 0;
   for (const Sequence& sequence : sequences_) {
-    tokens += sequence.prefillLeft_;
+    tokens += sequence.prefillRemaining_;
   }
   return tokens;
 }
 
-std::size_t FakeBatch::Running() const
+std::size_t FakeBatch::CountRunning() const
 {
   return static_cast<std::size_t>(std::count_if(
     sequences_.begin(), sequences_.end(), [](const Sequence& aEntry) {
@@ -112,7 +112,7 @@
 
 void FakeBatch::Admit()
 {
-  std::size_t running = Running();
+  std::size_t running = CountRunning();
   for (Sequence& sequence : sequences_) {
     if (sequence.admitted_) {
       continue;
@@ -130,7 +130,7 @@
 Sequence* FakeBatch::NextPrefill()
 {
   for (Sequence& sequence : sequences_) {
-    if (sequence.admitted_ && sequence.prefillLeft_ > 0) {
+    if (sequence.admitted_ && sequence.prefillRemaining_ > 0) {
       return &sequence;
     }
   }
--- a/fakes/gooseberrylift-fake-batch.h
+++ b/fakes/gooseberrylift-fake-batch.h
@@ -20,7 +20,7 @@
   std::uint64_t serial_ = 0; // set by Add
   int priority_ = 0;         // lower values run first
   std::uint64_t promptTokens_ = 0;
-  std::uint64_t prefillLeft_ = 0; // prompt tokens not yet processed
+  std::uint64_t prefillRemaining_ = 0; // prompt tokens not yet processed
   std::uint64_t nextToken_ = 0;
   std::uint64_t maxTokens_ = 0;
   std::uint64_t kvTokens_ = 0; // KV cache reserved while admitted
@@ -79,15 +79,15 @@
 
   /// Starts a step: admits waiting sequences and prefills one chunk. The
   /// sequences receive their tokens when the step ends.
-  Step Advance();
+  Step BeginStep();
 
   /// Adds the tokens of a step to the sequences that have not been removed.
-  void Deliver(const Step& aStep);
+  void FinishStep(const Step& aStep);
 
   /// Marks the sequences of a request as cancelled.
   void CancelById(const std::string& aId);
 
-  bool Idle() const { return sequences_.empty(); }
+  bool IsIdle() const { return sequences_.empty(); }
 
   /// Reserves KV cache for an export. Returns false if the free capacity does
   /// not suffice or the export exists already.
@@ -98,8 +98,11 @@
   std::uint64_t KvUsed() const { return kvUsed_; }
   std::uint64_t KvTotal() const { return options_.kvTokens_; }
   std::uint64_t WaitingTokens() const;
-  std::size_t Running() const;
-  std::size_t Waiting() const { return sequences_.size() - Running(); }
+  std::size_t CountRunning() const;
+  std::size_t CountWaiting() const
+  {
+    return sequences_.size() - CountRunning();
+  }
 
 private:
   void Admit();
--- a/fakes/gooseberrylift-fake-engine.cc
+++ b/fakes/gooseberrylift-fake-engine.cc
@@ -183,7 +183,7 @@
     newSequence.id_ = body.value("request_id", "");
     newSequence.priority_ = body.value("priority", 0);
     newSequence.promptTokens_ = tokens;
-    newSequence.prefillLeft_ = tokens - std::min(imported, tokens - 1);
+    newSequence.prefillRemaining_ = tokens - std::min(imported, tokens - 1);
     newSequence.nextToken_ = resume;
     newSequence.maxTokens_ = limit;
     newSequence.kvTokens_ = requiredTokens;
@@ -269,15 +269,15 @@
   asio::awaitable<void> RunBatchLoop()
   {
     TimePoint clock = TimerService::Now();
-    while (!batch_.Idle()) {
-      const FakeBatch::Step step = batch_.Advance();
+    while (!batch_.IsIdle()) {
+      const FakeBatch::Step step = batch_.BeginStep();
       clock = std::max(clock, TimerService::Now()) + step.duration_;
       if (step.duration_.count() > 0) {
         co_await TimerService::SleepUntil(clock);
       } else {
         co_await TimerService::SleepFor(std::chrono::milliseconds(1));
       }
-      batch_.Deliver(step);
+      batch_.FinishStep(step);
     }
     batchLoopRunning_ = false;
   }
@@ -299,8 +299,8 @@
     const TimePoint now = TimerService::Now();
     loadReports_.push_back({ now,
                              { { "waiting_tokens", batch_.WaitingTokens() },
-                               { "running", batch_.Running() },
-                               { "waiting", batch_.Waiting() },
+                               { "running", batch_.CountRunning() },
+                               { "waiting", batch_.CountWaiting() },
                                { "kv_used", batch_.KvUsed() },
                                { "kv_total", batch_.KvTotal() } } });
     while (loadReports_.size() > 1 && loadReports_[1].first + loadLag_ <= now) {
@@ -397,8 +397,8 @@
              { "finished", finished_ },
              { "cancels", cancels_ },
              { "kv_used", batch_.KvUsed() },
-             { "running", batch_.Running() },
-             { "waiting", batch_.Waiting() } };
+             { "running", batch_.CountRunning() },
+             { "waiting", batch_.CountWaiting() } };
   }
 
   asio::io_context& context_;
