--- a/test/integration/gooseberrylift-once-figures-test.cc
+++ b/test/integration/gooseberrylift-once-figures-test.cc
@@ -1,7 +1,7 @@
-// What at-most-once calls cost: calls to the store for each protected call at
-// 1, 10 and 100 in flight, with and without group commit, and the latency that
-// the intent's write adds. The figures are printed; docs/ONCE-AND-JOBS.md
-// holds a run.
+// Measures the overhead of at-most-once calls: store calls per protected call
+// at 1, 10 and 100 in flight, with and without group commit, and the latency
+// added by writing the intent. Prints the results; docs/ONCE-AND-JOBS.md has
+// the results of one run.
 
 #include "once-calls.h"
 
@@ -40,8 +40,8 @@
   return std::chrono::duration<double, std::milli>(aTime).count();
 }
 
-// Runs a job kCalls times with so many under way at once.
-// @return how long each took, in milliseconds
+// Runs a job kCalls times with a given number of concurrent runs.
+// @return the duration of each run in milliseconds
 template<typename Job>
 std::vector<double> RunAll(int aInFlight, const Job& aJob)
 {
@@ -120,9 +120,9 @@
   CHECK_TRUE(grouped[2].storeCallsPerCall_ < grouped[0].storeCallsPerCall_ / 2);
 }
 
-// The intent's write is the only call to the store before the dispatch, once
-// the host knows the bucket. The store is slow here, so that its own latency
-// stands out from the rest.
+// Once the host has cached the bucket, writing the intent is the only store
+// call before the dispatch. The store is slowed down so that its latency
+// dominates the measurement.
 TEST(OnceFiguresTest, AddsAboutOneCallOfTheStoreToTheLatency)
 {
   Deployment deployment({ .hosts_ = 1, .store_ = { { "delay_ms", 40 } } });
--- a/test/integration/gooseberrylift-once-test.cc
+++ b/test/integration/gooseberrylift-once-test.cc
@@ -1,5 +1,5 @@
-// Calls that may not be repeated, on real processes: a plain service counts
-// each run, and callers send again through other hosts at every step.
+// Tests at-most-once calls. A plain service counts the runs of each call, and
+// callers retry through other hosts at every step.
 
 #include "once-calls.h"
 
@@ -31,8 +31,8 @@
   });
 }
 
-// One place at the service, so that a call can be held between its intent and
-// its dispatch.
+// Limits the service to one concurrent call, so that a test can hold a call
+// between its intent and its dispatch.
 json OnePlace()
 {
   return json::parse(
@@ -55,8 +55,8 @@
   STRCMP_EQUAL(aRan, aAnswer.ran_.c_str());
 }
 
-// Fills the service's one place, so that the next call waits behind it with
-// its intent written. The place is free again once the service stops to hang.
+// Occupies the service's only slot, so that the next call is queued after its
+// intent was written. The slot is freed when the service stops hanging.
 std::future<OnceAnswer> HoldThePlace(Deployment& aDeployment)
 {
   aDeployment.Service(0).Control({ { "hang", true } });
@@ -70,8 +70,9 @@
 }
 ;
 
-// The answer is lost on its way to the caller, who sends again through another
-// host: it gets the recorded answer, and the service sees nothing.
+// Guards against a second run when the response is lost on its way to the
+// caller and the caller retries through another host: the host must replay the
+// recorded response without calling the service.
 TEST(OnceCallTest, ReplaysTheAnswerThroughAnotherHost)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -92,8 +93,8 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// An impatient caller sends again through every host while the call runs. All
-// wait for the one run and get its answer.
+// Guards against concurrent runs when a caller retries through every host while
+// the call runs. All duplicates must wait for the one run and get its response.
 TEST(OnceCallTest, MakesDuplicatesWaitForTheOneRun)
 {
   Deployment deployment({ .hosts_ = 3 });
@@ -109,9 +110,9 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host dies while the service works on the call, and the caller sees its
-// connection break. Whether the call ran can't be known from outside, so it is
-// told "unknown" once the intent's lease is over, and nothing runs again.
+// Guards against a second run when the host crashes while the service processes
+// the call. No other host can know whether the call ran, so a retry must be
+// answered "unknown" after the intent's lease has expired.
 TEST(OnceCallTest, SaysUnknownAfterTheHostDiedInDispatch)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -127,9 +128,9 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host dies after it wrote the intent and before it sent anything. Nobody
-// can tell this from the case above, so the answer is the same and the call
-// never runs.
+// The host crashes after it wrote the intent and before it sent the call. Other
+// hosts can't distinguish this from the case above, so a retry must get the
+// same response and the call must never run.
 TEST(OnceCallTest, SaysUnknownAfterTheHostDiedWithAnIntent)
 {
   Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
@@ -146,9 +147,10 @@
   LONGS_EQUAL(0, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host is stopped with an intent written, its deadline and lease pass, and
-// the caller is told "unknown" by another host. When the stopped host goes on,
-// its place is free, but it must not send: its time is over.
+// Guards against a dispatch by a host that was paused after it wrote the
+// intent. The deadline and the lease expire, and another host answers
+// "unknown". When the paused host resumes, the slot is free, but it must not
+// send the call.
 TEST(OnceCallTest, DoesNotDispatchAfterAPausePastDeadlineAndLease)
 {
   Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
@@ -169,8 +171,8 @@
   LONGS_EQUAL(0, RunsOf(deployment.Service(0), "k"));
 }
 
-// A call whose deadline passes in the queue is answered "not run", and that
-// frees its key: the caller may send it again, and it runs.
+// A call whose deadline expires in the queue is answered "not run" and its key
+// is released, so that a retry with the same key runs.
 TEST(OnceCallTest, FreesTheKeyOfACallThatWasNotRun)
 {
   Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
@@ -183,8 +185,8 @@
   CheckRanOnce(CallOnce(deployment.At(1).Port(), "k", seconds(10)));
 }
 
-// The deadline passes while the service works. The caller is told at once that
-// the call may have run; it did, so "no" would be a lie.
+// The deadline expires while the service processes the call. The caller must be
+// told at once that the call may have run; "no" would be wrong, as it did run.
 TEST(OnceCallTest, SaysUnknownAtTheDeadlineOfADispatchedCall)
 {
   Deployment deployment({ .hosts_ = 1 });
@@ -195,8 +197,8 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The caller leaves while its call runs. The outcome is recorded all the same
-// and waits for the caller's return.
+// The caller disconnects while its call runs. The outcome must still be
+// recorded, so that a later retry gets it.
 TEST(OnceCallTest, RecordsTheOutcomeOfACallerWhoLeft)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -209,8 +211,8 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The store takes the intent and its answer is lost. The host reads back,
-// finds its own nonce, and runs the call once.
+// The store writes the intent but its response is lost. The host must read the
+// record back, recognize its own nonce, and run the call once.
 TEST(OnceCallTest, RunsOnceWhenTheStoresAnswersAreLost)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -223,8 +225,8 @@
   }
 }
 
-// Without the store no intent can be written: the caller is refused well before
-// its deadline and nothing is sent. After the outage the same key runs.
+// Without the store no intent can be written: the call must be rejected well
+// before its deadline and not be sent. After the outage the same key must run.
 TEST(OnceCallTest, RefusesWhenTheStoreIsDownOrSilent)
 {
   Deployment deployment({ .hosts_ = 1 });
@@ -245,9 +247,9 @@
   }
 }
 
-// The store goes down between intent and outcome. The caller gets its answer;
-// the outcome is recorded when the store is back, and until then no host runs
-// the call again.
+// The store fails between intent and outcome. The caller must get its response;
+// the outcome must be recorded once the store has recovered, and until then no
+// host may run the call again.
 TEST(OnceCallTest, RecordsTheOutcomeAfterAnOutageInTheMiddle)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -270,8 +272,9 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// Three hosts write the same buckets at the same time; every conditional
-// update but one fails each round. All calls end, each key with one run.
+// Three hosts write to the same buckets concurrently, so that all conditional
+// updates but one fail in each round. All calls must complete, with one run per
+// key.
 TEST(OnceCallTest, EndsEveryCallWhenHostsWriteTheSameBuckets)
 {
   Deployment deployment({ .hosts_ = 3 });
@@ -288,9 +291,9 @@
   CHECK_TRUE(deployment.Store().Stats().value("conflict", 0) > 0);
 }
 
-// The endpoint dies with the call in its hands. Another endpoint is there, but
-// the call may have run, so it is not sent on and the caller is told so; with
-// or without a key.
+// Guards against a retry at a second endpoint when the first crashes while it
+// processes the call. The call may have run, so the caller must be told that
+// instead, with or without a key.
 TEST(OnceCallTest, DoesNotSendACallOnAfterItsEndpointDied)
 {
   Deployment deployment({ .hosts_ = 1, .services_ = 2 });
@@ -315,8 +318,8 @@
                "unknown");
 }
 
-// A planned stop right after the answer: the outcome is still recorded, so that
-// the caller's second try is replayed and not "unknown".
+// Guards against losing the outcome in a graceful shutdown right after the
+// response: a retry must get the replayed response and not "unknown".
 TEST(OnceCallTest, RecordsOutcomesBeforeAPlannedStop)
 {
   Deployment deployment({ .hosts_ = 2 });
--- a/test/integration/gooseberrylift-path-test.cc
+++ b/test/integration/gooseberrylift-path-test.cc
@@ -1,5 +1,5 @@
-// The whole path on real processes: a request from a caller over an entry host
-// to an endpoint and back.
+// End-to-end tests of requests from a caller through an entry host to an
+// endpoint.
 
 #include "harness.h"
 
@@ -39,9 +39,10 @@
   CHECK_TRUE(ended);
 }
 
-// The first requests of a pool reach a ready host together. One of them makes
-// the pool's shard; were the others let in before it knows its endpoints, they
-// would be refused with "no live endpoint" although all are live.
+// Guards against a race between the first concurrent requests for a pool. One
+// of them creates the pool's shard; if the others were admitted before the
+// shard knows its endpoints, they would be rejected with "no live endpoint"
+// although all endpoints are live.
 TEST(PathTest, AnswersTheFirstRequestsOfAPoolThatComeTogether)
 {
   constexpr int kHosts = 6;
@@ -72,9 +73,9 @@
   LONGS_EQUAL(1, deployment.Service(0).Stats().value("total", 0));
 }
 
-// The engine takes the request and says nothing until the deadline. The caller
-// gets its final answer then, with the time to come back; without that time all
-// callers of a hanging engine would return in the same moment.
+// The engine accepts the request and sends nothing until the deadline. The
+// final response must have a Retry-After field; without it all callers of a
+// hanging engine would retry at the same moment.
 TEST(PathTest, TellsWhenToComeBackAfterTheDeadline)
 {
   Deployment deployment({ .engines_ = 1 });
@@ -87,8 +88,8 @@
   CHECK_FALSE(answer.value().Field("Retry-After").empty());
 }
 
-// The same for a call that may not be repeated and has no key: it may have run,
-// so the caller must not be asked to send it again.
+// The same for a non-idempotent call without a key: it may have run, so the
+// response must not ask the caller to retry.
 TEST(PathTest, AsksNobodyToRepeatACallThatMayHaveRun)
 {
   Deployment deployment({});
@@ -113,9 +114,9 @@
                   metrics.value().body_.c_str());
 }
 
-// The caller's stream breaks off inside the engine after five tokens. The host
-// must go on at another engine from the sixth, so the caller sees one whole
-// answer with each token once.
+// The engine closes the stream after five tokens. The host must resume at
+// another engine from the sixth, so that the caller gets one complete response
+// with each token once.
 TEST(PathTest, ResumesAStreamThatAnEngineCuts)
 {
   Deployment deployment({ .engines_ = 2 });
--- a/test/integration/gooseberrylift-peers-test.cc
+++ b/test/integration/gooseberrylift-peers-test.cc
@@ -1,4 +1,4 @@
-// Entry hosts that find one another and exchange digests, on real processes.
+// Tests peer discovery and the exchange of digests between entry hosts.
 
 #include "harness.h"
 
@@ -49,8 +49,9 @@
 
 TEST_GROUP(PeersTest){};
 
-// The store is down from the first second after the hosts met. They go on
-// hearing one another, miss one that is paused, and find it again.
+// The store fails within the first second after the hosts discovered each
+// other. They must keep exchanging digests, detect that one host is paused, and
+// detect its return.
 TEST(PeersTest, HearOneAnotherWhileTheStoreIsDownAndAfterAPause)
 {
   Deployment deployment({ .hosts_ = 4 });
@@ -62,8 +63,9 @@
   CHECK_TRUE(AllSee(deployment, 3));
 }
 
-// A host whose first key is new and that still accepts the old one stands in
-// the middle of a rotation; it must understand hosts on either side of it.
+// During a key rotation a host has the new key first and still accepts the old
+// one. It must be able to communicate with hosts that have only the old or only
+// the new key.
 TEST(PeersTest, UnderstandOneAnotherInTheMiddleOfAKeyRotation)
 {
   Deployment deployment(
@@ -73,8 +75,8 @@
   CHECK_TRUE(AllSee(deployment, 2));
 }
 
-// A process with another key reaches the store's list but must learn nothing
-// and be told nothing.
+// A host with a different key is registered in the store, but must neither
+// receive digests nor have its own accepted.
 TEST(PeersTest, RefuseAHostWithAnotherKey)
 {
   Deployment deployment(
@@ -89,8 +91,9 @@
   LONGS_EQUAL(0, PeersOf(stranger));
 }
 
-// A recorded exchange is sent again: its signature would be good (here there
-// is no key at all), but its number was used, so nothing of it is taken in.
+// Guards against replay attacks: a recorded message is sent again. Its
+// signature would be valid (this test uses no key), but its sequence number was
+// already used, so it must be ignored.
 TEST(PeersTest, RefuseAMessageThatIsSentTwice)
 {
   Deployment deployment({ .hosts_ = 1 });
@@ -114,9 +117,9 @@
   STRCMP_CONTAINS("refused", old.value().body_.c_str());
 }
 
-// The platform counts each call to the store. At rest, after all have joined,
-// nine hosts poll once a second each; beside that only watches and lists of
-// members are renewed, and nothing is written.
+// Bounds the load on the store, as the platform counts each call to it. When
+// idle, after all have joined, nine hosts poll once a second each; apart from
+// that they only renew watches and member lists, and write nothing.
 TEST(PeersTest, CallTheStoreLittleWhenNothingChanges)
 {
   constexpr int kHosts = 9;
--- a/test/integration/gooseberrylift-planned-stop-test.cc
+++ b/test/integration/gooseberrylift-planned-stop-test.cc
@@ -1,4 +1,5 @@
-// A planned stop and a leaving endpoint cut nothing, under load.
+// Tests that a graceful shutdown of a host and a draining endpoint interrupt no
+// requests under load.
 
 #include "harness.h"
 
@@ -26,8 +27,8 @@
 
 namespace {
 
-// What the platform's balancer does: it looks at /readyz again and again and
-// gives callers only hosts that were ready when it last looked.
+// Simulates the platform's load balancer: polls /readyz and gives callers only
+// hosts that were ready at the last poll.
 class Balancer
 {
 public:
@@ -70,7 +71,7 @@
   std::vector<Host*> ready_;
 };
 
-// A caller that keeps its connections from one call to the next.
+// A caller that reuses its connections between calls.
 class KeepingCaller
 {
 public:
@@ -95,8 +96,8 @@
   HttpClient client_{ asio_.get_executor(), HttpClient::Options{} };
 };
 
-// Streams, plain completions and service calls from several callers until the
-// object goes; every answer is checked byte for byte.
+// Generates load until destroyed: streams, non-streamed completions and service
+// calls from several callers. Compares every response byte for byte.
 class CheckedLoad
 {
 public:
@@ -131,7 +132,7 @@
   int Whole() const { return whole_; }
   int Failed() const { return failed_; }
 
-  /// Waits until so many more answers came.
+  /// Waits for a number of further responses.
   bool WaitForMore(int aAnswers)
   {
     const int goal = whole_ + aAnswers;
@@ -165,7 +166,7 @@
   }
 
   // Half of the callers send streams that last about two seconds, longer than
-  // a stopping host's lag, so that some always run when the lag is over.
+  // the drain lag, so that some streams always run when the lag ends.
   static constexpr int kLongCallers = 4;
   static constexpr int kLongStream = 4;
 
@@ -234,7 +235,7 @@
     balancer_.SetHosts(std::move(hosts));
   }
 
-  // Stops a host and expects a proper end within lag and limit.
+  // Stops a host and checks that it exits cleanly within drain lag and limit.
   void StopsCleanly(std::size_t aIndex)
   {
     Process& process = deployment_.At(aIndex).Handle();
@@ -244,9 +245,9 @@
   }
 };
 
-// One of three hosts is told to stop while streams and plain calls run on all.
-// It goes unready first, takes what the balancer still sends, finishes what
-// runs and exits; callers must notice nothing.
+// One of three hosts is stopped while all of them process streams and plain
+// calls. It must become unready first, accept what the balancer still sends,
+// complete the running requests and exit, without a failed request.
 TEST(PlannedStopTest, StopsOneHostUnderLoadWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
@@ -260,7 +261,7 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// A rolling restart: each host in turn is stopped and replaced.
+// A rolling restart: the hosts are stopped and replaced one at a time.
 TEST(PlannedStopTest, ReplacesAllHostsInTurnWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
@@ -282,8 +283,9 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// A caller is still sending its body when the host is told to stop. No handler
-// runs yet, so a host that counts handlers only would exit and cut the call.
+// Guards against interrupting a request whose body is incomplete when the host
+// is stopped. No handler runs yet, so a host that counts only handlers would
+// exit too early.
 TEST(PlannedStopTest, FinishesARequestWhoseBodyIsStillComing)
 {
   const std::string body =
@@ -294,7 +296,7 @@
   wire.Write(request.substr(0, request.size() - 20));
   host.Handle().Signal(SIGTERM);
   CHECK_FALSE(host.Handle().WaitForLine("\"event\":1001", seconds(10)).empty());
-  // Longer than the lag, after which nothing but this request is left.
+  // Longer than the drain lag, after which only this request is in flight.
   CHECK_EQUAL(-1, host.Handle().WaitForExit(milliseconds(1500)));
   wire.Write(request.substr(request.size() - 20));
   CHECK_TRUE(wire.ReadToEnd());
@@ -302,8 +304,9 @@
   LONGS_EQUAL(0, host.Handle().WaitForExit(seconds(25)));
 }
 
-// The platform's list shows an engine as leaving while it still answers. It may
-// finish what it has, but three seconds later nothing new may begin there.
+// The platform's host list marks an engine as draining while it still responds.
+// It may complete its requests, but after three seconds it must get no new
+// ones.
 TEST(PlannedStopTest, GivesALeavingEndpointNoNewWorkThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
@@ -312,7 +315,7 @@
   json list = deployment_.HostList();
   list[0]["state"] = "leaving";
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the bound that is promised
+  std::this_thread::sleep_for(seconds(3)); // the documented upper bound
   const int started = deployment_.Engine(0).Stats().value("started", -1);
   CHECK_TRUE(started > 0);
   CHECK_TRUE(load.WaitForMore(200));
@@ -321,9 +324,9 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// The engine itself says that it leaves, in its load report and in refusing new
-// work; the list still shows it live. Each host may run into a few refusals
-// that were under way at that moment, and none later.
+// The engine reports that it drains in its load report and by rejecting new
+// requests, while the host list still shows it as live. Each host may get a few
+// rejections for requests in flight at that moment, and none later.
 TEST(PlannedStopTest, BelievesALeavingEndpointsOwnWordAtOnce)
 {
   constexpr int kUnderWay = kCallers;
@@ -343,8 +346,9 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// The same for a plain service: first its own word, while the list still shows
-// it live. Calls that meet its refusal go to the other endpoint, as none ran.
+// The same for a plain service that reports that it drains while the host list
+// still shows it as live. Rejected calls have not run and must be retried at
+// the other endpoint.
 TEST(PlannedStopTest, BelievesALeavingServicesOwnWordWithoutFailingACall)
 {
   constexpr int kUnderWay = kCallers;
@@ -364,7 +368,8 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// And by the list alone: three seconds later no call begins there.
+// The same with the host list as the only source: after three seconds the
+// service must get no new calls.
 TEST(PlannedStopTest, GivesALeavingServiceNoNewCallThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
@@ -377,7 +382,7 @@
     }
   }
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the bound that is promised
+  std::this_thread::sleep_for(seconds(3)); // the documented upper bound
   const int total = deployment_.Service(0).Stats().value("total", -1);
   CHECK_TRUE(total > 0);
   CHECK_TRUE(load.WaitForMore(200));
--- a/test/integration/gooseberrylift-proxy-test.cc
+++ b/test/integration/gooseberrylift-proxy-test.cc
@@ -1,5 +1,5 @@
-// The fault-injecting proxy does what its script says, so that the other tests
-// can lean on it. Each test goes straight to a fake service behind the proxy.
+// Tests the fault-injecting proxy that other integration tests depend on. Each
+// test calls a fake service through the proxy, without an entry host.
 
 #include "harness.h"
 
@@ -54,7 +54,7 @@
   const auto begin = std::chrono::steady_clock::now();
   STRCMP_EQUAL("/a", PathIn(Call(proxy_, "/a")).c_str());
   CHECK_TRUE(std::chrono::steady_clock::now() - begin >=
-             std::chrono::milliseconds(300)); // once each way
+             std::chrono::milliseconds(300)); // delayed in both directions
 }
 
 TEST(ProxyTest, DropsBeforeTheRequestArrives)
--- a/test/integration/gooseberrylift-silent-engine-test.cc
+++ b/test/integration/gooseberrylift-silent-engine-test.cc
@@ -1,4 +1,4 @@
-// An engine that takes requests and never answers, on real processes.
+// Tests an engine that accepts requests and never responds.
 
 #include "harness.h"
 
@@ -9,15 +9,17 @@
 
 TEST_GROUP(SilentEngineTest){};
 
-// One engine of three hangs but still reports its load, so it looks idle and
-// draws requests. Each caller placed there would wait for its whole deadline of
-// 60 s. The host leaves it after the limit for a first token, goes on at
-// another engine, and after two such faults sends it nothing for a while.
+// Guards against callers that wait for their full deadline of 60 s: one engine
+// of three hangs but still reports its load, so it looks idle and attracts
+// requests. After the time limit for the first token the host must retry at
+// another engine, and after two such faults it must exclude the hanging engine
+// for a while.
 TEST(SilentEngineTest, AnswersInTimeBesideAnEngineThatHangs)
 {
   Deployment deployment({ .engines_ = 3 });
   const std::uint16_t port = deployment.At(0).Port();
-  // The host learns how long a first token takes before it limits it.
+  // The host needs samples of the time to first token before it applies a
+  // limit.
   for (int index = 0; index < 30; ++index) {
     const auto answer = Send(port, ChatRequest("warm", 2, false));
     LONGS_EQUAL(200, answer.value().status_);
--- a/test/integration/gooseberrylift-stop-at-work-test.cc
+++ b/test/integration/gooseberrylift-stop-at-work-test.cc
@@ -118,7 +118,7 @@
     std::this_thread::sleep_for(aDelay);
     deployment.At(0).Handle().Signal(SIGTERM);
     CheckCleanExit(deployment.At(0));
-    CHECK_FALSE(stream.Answer().has_value()); // must not look whole
+    CHECK_FALSE(stream.Answer().has_value()); // must not look complete
   });
 }
 
--- a/test/integration/gooseberrylift-stream-test.cc
+++ b/test/integration/gooseberrylift-stream-test.cc
@@ -1,4 +1,4 @@
-// Streams over engines that die. STREAM_SEED changes the run.
+// Tests streams while engines crash. STREAM_SEED sets the random seed.
 
 #include "harness.h"
 
@@ -25,10 +25,10 @@
 constexpr int kStreams = 500;
 constexpr int kCallers = 20;
 constexpr int kTokens = 60;
-constexpr milliseconds kDeadline{ 20'000 }; // the service's own
+constexpr milliseconds kDeadline{ 20'000 }; // the service's configured deadline
 constexpr milliseconds kLateness{ 250 };
 
-// Engines that are killed and replaced by new ones under new names.
+// Engines that are killed and replaced by new engines with new names.
 class Fleet
 {
 public:
@@ -86,7 +86,7 @@
 struct Counts
 {
   std::atomic<int> next_ = 0;
-  std::atomic<int> wrong_ = 0; // not whole, or not the reference
+  std::atomic<int> wrong_ = 0; // incomplete or different from the reference
   std::atomic<int> late_ = 0;
 };
 
@@ -118,9 +118,9 @@
 TEST_GROUP(StreamTest){};
 
 // 500 callers read streams of 60 tokens while engines are killed at random
-// moments and replaced. Each stream goes on at another engine from the token
-// after its last one; the caller sees every token once and in order, and the
-// end marker.
+// times and replaced. Each stream must resume at another engine after its last
+// token, so that the caller gets every token once and in order, and the end
+// marker.
 TEST(StreamTest, EndsEveryStreamWholeWhenEnginesDie)
 {
   const char* seedText = std::getenv("STREAM_SEED");
--- a/test/integration/gooseberrylift-whole-answer-test.cc
+++ b/test/integration/gooseberrylift-whole-answer-test.cc
@@ -1,5 +1,6 @@
-// Each caller gets the whole answer to its own request, or an error; never a
-// part that looks whole and never somebody else's.
+// Tests that each caller gets the complete response to its own request or an
+// error, and never a truncated response that looks complete or the response to
+// another request.
 
 #include "harness.h"
 
@@ -20,8 +21,8 @@
 constexpr int kCallers = 12;
 constexpr int kCallsEach = 400;
 
-// Every fault that the proxy knows but a closed listener, on requests to
-// models and plain services alike; /load polls meet them as well.
+// All faults of the proxy except a closed listener, for requests to models and
+// to plain services. They also affect /load polls.
 json SoakRules()
 {
   const auto rule =
@@ -40,11 +41,12 @@
     rule("lose_answer", 0.01, { { "hold_ms", 5 } }),
     rule("drop", 0.01),
     rule("black_hole", 0.001),
-    rule("delay", 0.001, { { "delay_ms", 2500 } }), // comes after the deadline
+    rule(
+      "delay", 0.001, { { "delay_ms", 2500 } }), // arrives after the deadline
   };
 }
 
-// What the callers received, added up over their threads.
+// Totals of the callers' results over all threads.
 struct SoakCounts
 {
   std::atomic<int> whole_ = 0;
@@ -54,7 +56,7 @@
 
   std::mutex mutex_;
   std::map<int, int> codes_;
-  std::vector<std::string> notRun_; // identifiers refused with "ran": "no"
+  std::vector<std::string> notRun_; // IDs of requests rejected with "ran": "no"
 
   void NoteWrong(const HttpResponse& aAnswer)
   {
@@ -138,7 +140,8 @@
     request.fields_.push_back({ "X-Tag", "/" + tag });
     const auto answer = Send(aPort, std::move(request));
     if (!answer) {
-      ++aCounts.cutStreams_; // a connection that broke never looks whole
+      ++aCounts.cutStreams_; // a closed connection never looks like a complete
+                             // response
     } else if (model) {
       CheckModelAnswer(tag, tokens, kind == 0, answer.value(), aCounts);
     } else {
@@ -147,7 +150,7 @@
   }
 }
 
-// Adds up how often the services ran each request.
+// Returns how often the services ran each request in total.
 std::map<std::string, int> RunsOf(Deployment& aDeployment, int aServices)
 {
   std::map<std::string, int> runs;
@@ -165,11 +168,12 @@
 TEST_GROUP(WholeAnswerTest){};
 
 // Twelve callers send tagged requests of all kinds while the proxies swap,
-// repeat, delay, cut and lose the endpoints' answers. A caller may see an error
-// with a number; what it must never see is another caller's answer, a short one
-// that looks whole, or "not run" for a call that a service has run. Without the
-// check of the echoed identifier, or with a connection reused while an answer
-// is outstanding, the swapped and repeated answers reach the wrong caller.
+// repeat, delay, cut and lose the endpoints' responses. A caller may get an
+// error with a result code, but never another caller's response, a truncated
+// response that looks complete, or "not run" for a call that a service has run.
+// Without the check of the echoed request ID, or if a connection were reused
+// while a response is outstanding, swapped and repeated responses would reach
+// the wrong caller.
 TEST(WholeAnswerTest, GivesThousandsOfTaggedAnswersToTheirOwnCallers)
 {
   constexpr int kServices = 3;
--- a/test/integration/harness-gateway.h
+++ b/test/integration/harness-gateway.h
@@ -1,5 +1,5 @@
-// A small deployment whose hosts serve routes: the platform's store, endpoints
-// that list themselves there, and hosts.
+// Test harness for hosts that serve routes: the platform's store, endpoints
+// registered in it, and hosts.
 
 #ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_GATEWAY_H_
 #define GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_GATEWAY_H_
@@ -23,7 +23,8 @@
     json engine_ = json::object();  // merged into each endpoint's settings
     json gateway_ = json::object(); // merged into the hosts' section "gateway"
     json host_ = json::object();    // merged into all settings of the hosts
-    std::string settingsPath_;      // the first host's file; empty: none
+    std::string
+      settingsPath_; // first host's settings file; empty: inline settings
   };
 
   explicit GatewayDeployment(Options aOptions);
@@ -33,20 +34,21 @@
   Fake& Board(std::size_t aIndex) { return *boards_.at(aIndex); }
   Host& At(std::size_t aIndex) { return *hosts_.at(aIndex); }
 
-  /// Gives the route document, for a test to change and put.
+  /// Returns the initial route document. A test may change the copy and pass it
+  /// to PutDocument().
   json Document() const { return document_; }
 
-  /// Puts a route document into the store.
+  /// Writes a route document to the store.
   void PutDocument(const json& aDocument);
 
-  /// Lists an endpoint in the store.
+  /// Registers an endpoint in the store.
   void List(const std::string& aId,
             const Fake& aFake,
             const std::string& aService,
             const std::string& aState = "ready",
             const std::string& aZone = "zone-a");
 
-  /// Puts an object into the store.
+  /// Writes an object to the store.
   /// @param aKey KIND/NAME
   void Put(const std::string& aKey, const json& aSpec);
 
@@ -54,13 +56,14 @@
   /// @param aKey KIND/NAME
   void Remove(const std::string& aKey);
 
-  /// Gives the settings of a host.
+  /// Returns the settings of a host.
   json HostSettings(const std::string& aName) const;
 
-  /// Counts over all endpoints how often a request arrived or ran.
+  /// Sums a counter for one request ID, such as arrivals or runs, over all
+  /// endpoints.
   int Count(const std::string& aCount, const std::string& aAttemptId);
 
-  /// Sends a request with a team key.
+  /// Sends a request to the first host.
   Outcome<HttpResponse> Ask(HttpRequest aRequest);
 
 private:
@@ -72,14 +75,14 @@
   std::vector<std::unique_ptr<Host>> hosts_;
 };
 
-/// Makes a caller's request.
-/// @param aAttemptId its own, which the answer bears too
+/// Creates a caller's request.
+/// @param aAttemptId the request's ID, which the response echoes
 HttpRequest RouteRequest(const std::string& aMethod,
                          const std::string& aPath,
                          const std::string& aAttemptId,
                          const std::string& aKey = "team-key");
 
-/// Makes a request for a stream of the route /stream/.
+/// Creates a streaming request for the route /stream/.
 HttpRequest StreamRequest(const std::string& aAttemptId,
                           std::uint64_t aPromptTokens = 1000);
 
--- a/test/integration/harness-wire.h
+++ b/test/integration/harness-wire.h
@@ -1,4 +1,4 @@
-// A caller that writes raw bytes, for what no proper HTTP client would do.
+// A raw TCP client, for requests that a conforming HTTP client would not send.
 
 #ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_WIRE_H_
 #define GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_WIRE_H_
@@ -10,8 +10,8 @@
 
 namespace gooseberrylift::test {
 
-// One connection of a caller; it closes when the object goes. Reads are
-// bounded; what has been read stays in Received().
+// A client connection, closed by the destructor. Every read has a timeout. All
+// bytes read so far are kept in Received().
 class Wire
 {
 public:
@@ -20,27 +20,27 @@
   Wire(const Wire&) = delete;
   Wire& operator=(const Wire&) = delete;
 
-  /// Writes all of a text. @return false when the other side is gone
+  /// Writes a complete text. @return false if the connection is closed
   bool Write(const std::string& aText);
 
-  /// Reads until a text has come. @return whether it came in time
+  /// Reads until a text was received. @return false on timeout or end of stream
   bool ReadUntil(const std::string& aText,
                  std::chrono::milliseconds aLimit = std::chrono::seconds(10));
 
-  /// Reads until the other side closes. @return whether it did in time
+  /// Reads until the peer closes the connection. @return false on timeout
   bool ReadToEnd(std::chrono::milliseconds aLimit = std::chrono::seconds(10));
 
-  /// Closes the sending half only.
+  /// Shuts down the sending half of the connection only.
   void HalfClose();
 
   void Close();
 
   const std::string& Received() const { return received_; }
 
-  /// Gives the status of the first answer; 0 when there is none.
+  /// Returns the status of the first response; 0 if there is none.
   int Status() const;
 
-  /// Gives the result code in the first answer's body; 0 when there is none.
+  /// Returns the result code in the first response's body; 0 if there is none.
   int Code() const;
 
 private:
@@ -51,11 +51,11 @@
   std::string received_;
 };
 
-/// Writes a chat request as text.
-/// @param aFields more header lines, each ended by CR LF
+/// Formats a chat request as HTTP/1.1 text.
+/// @param aFields additional header lines, each terminated by CR LF
 std::string RawChat(const std::string& aBody, const std::string& aFields = {});
 
-/// Reads a process's resident memory in bytes.
+/// Returns the resident memory of a process in bytes.
 std::uint64_t ResidentBytes(int aProcess);
 
 } // namespace gooseberrylift::test
--- a/test/integration/harness.cc
+++ b/test/integration/harness.cc
@@ -92,7 +92,7 @@
   const bool ended =
     WaitUntil(aLimit, [&] { return !impl_->child_.running(ignored); });
   if (ended && impl_->reader_.joinable()) {
-    impl_->reader_.join(); // so that Output() is whole
+    impl_->reader_.join(); // so that Output() is complete
   }
   return ended ? impl_->child_.exit_code() : -1;
 }
@@ -198,7 +198,7 @@
 {
 }
 
-// The program takes JSON itself as well as a path.
+// --settings accepts inline JSON as well as a path.
 Host::Host(const std::string& aSettingsPath)
   : process_(std::make_unique<Process>(
       PRODUCT_BINARY,
--- a/test/integration/harness.h
+++ b/test/integration/harness.h
@@ -1,5 +1,6 @@
-// Starts real processes for a test: fakes, entry hosts, and requests to them.
-// Every wait is for a condition and bounded.
+// Test harness for integration tests: starts fakes and entry hosts as child
+// processes and sends them requests. Every wait is for a condition and has a
+// timeout.
 
 #ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_H_
 #define GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_H_
@@ -19,7 +20,7 @@
 
 using nlohmann::json;
 
-// A child process. It is killed when the object goes.
+// A child process. The destructor kills it if it still runs.
 class Process
 {
 public:
@@ -28,21 +29,21 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// Waits for a line of output (both streams) that contains a text.
-  /// @return the line; empty when it did not come in time
+  /// Waits for a line on stdout or stderr that contains a text.
+  /// @return the line; empty on timeout
   std::string WaitForLine(const std::string& aText,
                           std::chrono::milliseconds aLimit);
 
   /// Sends a signal, such as SIGSTOP.
   void Signal(int aSignal);
 
-  /// Waits for the end. @return the exit status, -1 when it did not come
+  /// Waits for the process to exit. @return the exit status; -1 on timeout
   int WaitForExit(std::chrono::milliseconds aLimit);
 
-  /// Gives the process's number.
+  /// Returns the process ID.
   int Pid() const;
 
-  /// Gives all output so far.
+  /// Returns all output so far.
   std::string Output() const;
 
 private:
@@ -50,17 +51,17 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Waits until a condition holds. @return false when the limit passed first
+/// Waits until a condition holds. @return false on timeout
 bool WaitUntil(std::chrono::milliseconds aLimit,
                const std::function<bool()>& aCondition);
 
-/// Sends a request and reads the whole answer. Blocks; safe from any thread.
+/// Sends a request and reads the complete response. Blocks; thread-safe.
 Outcome<HttpResponse> Send(
   std::uint16_t aPort,
   HttpRequest aRequest,
   std::chrono::milliseconds aLimit = std::chrono::seconds(20));
 
-// A fake of some kind on a free port.
+// A child process that runs one kind of fake on a free port.
 class Fake
 {
 public:
@@ -69,10 +70,10 @@
   std::uint16_t Port() const { return port_; }
   std::string Address() const { return "127.0.0.1:" + std::to_string(port_); }
 
-  /// Changes the fake's behaviour through its control path.
+  /// Changes the fake's behaviour by a POST to /control.
   void Control(const json& aBody);
 
-  /// Reads the fake's counts.
+  /// Reads the fake's counters from /stats.
   json Stats();
 
   Process& Handle() { return *process_; }
@@ -82,8 +83,8 @@
   std::uint16_t port_ = 0;
 };
 
-// A fault-injecting proxy before a target. The script's format stands in
-// fakes/gooseberrylift-fake-proxy-script.h:
+// A fault-injecting proxy in front of a target. The script's format is
+// documented in fakes/gooseberrylift-fake-proxy-script.h:
 //
 //   proxy.Script({ { { "fault", "cut" }, { "match", "POST /v1" } } });
 class Proxy
@@ -91,17 +92,17 @@
 public:
   Proxy(const std::string& aTarget, json aSettings);
 
-  /// Gives the address that the proxy listens on for its target.
+  /// Returns the address on which the proxy accepts connections to its target.
   std::string Address() const { return "127.0.0.1:" + std::to_string(port_); }
   std::uint16_t Port() const { return port_; }
 
-  /// Replaces the script; an empty array ends all faults.
+  /// Replaces the script; an empty array disables all faults.
   void Script(const json& aRules);
 
   /// Resets every open connection.
   void ResetAll();
 
-  /// Gives how often a fault was applied.
+  /// Returns how often a fault was injected.
   int Hits(const std::string& aFault);
 
   json Stats() { return fake_.Stats(); }
@@ -112,13 +113,13 @@
   std::uint16_t port_ = 0;
 };
 
-// An entry host on free ports.
+// A child process that runs an entry host on free ports.
 class Host
 {
 public:
   Host(const json& aSettings);
 
-  /// Starts a host whose settings stand in a file.
+  /// Starts a host with a settings file.
   explicit Host(const std::string& aSettingsPath);
 
   std::uint16_t Port() const { return callerPort_; }
@@ -137,9 +138,9 @@
   std::uint16_t adminPort_ = 0;
 };
 
-// A whole small deployment: store, host list, engines, one plain service with
-// a number of endpoints, and entry hosts. Team key "team-one-key"; model "m" in
-// pool "llm"; plain service "board" in pool "board".
+// A small but complete deployment: store, host list, engines, one plain service
+// with one or more endpoints, and entry hosts. Team key "team-one-key"; model
+// "m" in pool "llm"; plain service "board" in pool "board".
 class Deployment
 {
 public:
@@ -152,17 +153,18 @@
     json store_ = json::object();  // merged into the store's settings
     json host_ = json::object();   // merged into each host's settings
     json config_ = json::object(); // merged into the configuration
-    bool proxied_ = false;         // a proxy before each endpoint and the store
-    json proxy_ = json::object();  // merged into each proxy's settings
+    bool proxied_ = false; // a proxy in front of each endpoint and the store
+    json proxy_ = json::object(); // merged into each proxy's settings
   };
 
   explicit Deployment(Options aOptions);
 
-  /// Starts one more entry host.
+  /// Starts an additional entry host.
   /// @param aSettings merged into its settings
   Host& AddHost(const json& aSettings = json::object());
 
-  /// Gives the host list as it should be now; the "state" may be changed.
+  /// Returns the host list for the current endpoints. A test may change the
+  /// "state" of an entry.
   json HostList() const;
 
   Fake& Store() { return *store_; }
@@ -171,7 +173,7 @@
   Fake& Service(std::size_t aIndex) { return *services_.at(aIndex); }
   Host& At(std::size_t aIndex) { return *hosts_.at(aIndex); }
 
-  /// Gives a proxy; only with Options::proxied_.
+  /// Returns an endpoint's proxy. Requires Options::proxied_.
   Proxy& EngineProxy(std::size_t aIndex) { return *engineProxies_.at(aIndex); }
   Proxy& ServiceProxy(std::size_t aIndex)
   {
@@ -195,21 +197,21 @@
   std::vector<std::unique_ptr<Host>> hosts_;
 };
 
-/// Makes a chat request for the deployment's model.
+/// Creates a chat request for the deployment's model.
 HttpRequest ChatRequest(const std::string& aPrompt,
                         int aMaxTokens,
                         bool aStream);
 
-/// Makes a call to the deployment's plain service.
+/// Creates a request to the deployment's plain service.
 HttpRequest BoardRequest(const std::string& aMethod,
                          const std::string& aPath,
                          const std::string& aBody = {});
 
-/// Joins the token texts of a streamed answer.
-/// @param aWhole set to whether the end marker was there
+/// Concatenates the token texts of a streamed response.
+/// @param aWhole set to whether the end marker [DONE] was present
 std::string StreamText(const std::string& aBody, bool* aWhole);
 
-/// Gives the number of a refusal's result code; 0 when the body has none.
+/// Returns the result code in an error response; 0 if the body has none.
 int CodeOf(const HttpResponse& aResponse);
 
 } // namespace gooseberrylift::test
--- a/test/integration/once-calls.h
+++ b/test/integration/once-calls.h
@@ -1,5 +1,5 @@
-// What the tests of at-most-once calls share: keyed calls, timed against their
-// deadline, and the records that the store holds.
+// Helpers for tests of at-most-once calls: calls with an idempotency key, timed
+// against their deadline, and counts of runs and of stored records.
 
 #ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_ONCE_CALLS_H_
 #define GOOSEBERRYLIFT_TEST_INTEGRATION_ONCE_CALLS_H_
@@ -13,14 +13,15 @@
 
 namespace gooseberrylift::test {
 
-// The bound that the users set for answers after their deadline in tests.
+// The longest time after its deadline at which a response is accepted. The
+// bound was set by the users.
 constexpr std::chrono::milliseconds kLateness{ 250 };
 
-// One call's answer as its caller saw it.
+// A call's response as the caller received it.
 struct OnceAnswer
 {
-  bool answered_ = false; // false: the connection broke
-  bool late_ = false;     // later than its deadline and kLateness
+  bool answered_ = false; // false: the connection was closed
+  bool late_ = false;     // later than the deadline plus kLateness
   int status_ = 0;
   int code_ = 0;
   bool replayed_ = false;
@@ -71,13 +72,13 @@
   return answer;
 }
 
-// How often the service ran a key.
+// Returns how often the service ran the call with a key.
 inline int RunsOf(Fake& aService, const std::string& aKey)
 {
   return aService.Stats()["runs"].value(aKey, 0);
 }
 
-// How many records the store holds.
+// Returns the number of at-most-once records in the store.
 inline std::size_t RecordsIn(Fake& aStore)
 {
   const auto response =
