--- a/test/main-test.cc
+++ b/test/main-test.cc
@@ -5,8 +5,8 @@
 
 int main(int aCount, char** aArguments)
 {
-  // Asio and nlohmann keep allocations beyond the end of a test, which CppUTest's
-  // leak detection would report as leaks of that test.
+  // Asio and nlohmann keep allocations beyond the end of a test, which
+  // CppUTest's leak detection would report as leaks of that test.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(aCount, aArguments);
 }
