--- a/test/integration/gooseberrylift-once-figures-test.cc
+++ b/test/integration/gooseberrylift-once-figures-test.cc
@@ -22,7 +22,7 @@
 
 constexpr int kCalls = 400;
 
-struct Figures
+struct Measurement
 {
   double storeCallsPerCall_ = 0;
   double medianMs_ = 0;
@@ -35,7 +35,7 @@
   return aValues.empty() ? 0 : aValues[aValues.size() / 2];
 }
 
-double Milliseconds(TimePoint::duration aTime)
+double ToMilliseconds(TimePoint::duration aTime)
 {
   return std::chrono::duration<double, std::milli>(aTime).count();
 }
@@ -55,7 +55,7 @@
       for (int call = next++; call < kCalls; call = next++) {
         const TimePoint begin = TimerService::Now();
         aJob(call);
-        const double time = Milliseconds(TimerService::Now() - begin);
+        const double time = ToMilliseconds(TimerService::Now() - begin);
         const std::lock_guard lock(mutex);
         times.push_back(time);
       }
@@ -67,12 +67,12 @@
   return times;
 }
 
-int CallsOf(const json& aStats)
+int StoreCallsOf(const json& aStats)
 {
   return aStats.value("read", 0) + aStats.value("write", 0);
 }
 
-Figures Measure(int aMaxBatch, int aInFlight)
+Measurement Measure(int aMaxBatch, int aInFlight)
 {
   Deployment deployment(
     { .hosts_ = 1,
@@ -82,7 +82,7 @@
       .config_ = json::parse(R"({"pools": [{"name": "llm"},
         {"name": "board", "max_concurrency": 200}]})") });
   std::atomic<int> succeeded = 0;
-  const int before = CallsOf(deployment.Store().Stats());
+  const int before = StoreCallsOf(deployment.Store().Stats());
   const auto times = RunAll(aInFlight, [&](int aCall) {
     const OnceAnswer answer = CallOnce(
       deployment.At(0).Port(), "k" + std::to_string(aCall), seconds(20));
@@ -93,7 +93,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     return deployment.Store().Stats() == stats;
   });
-  const int made = CallsOf(deployment.Store().Stats()) - before;
+  const int made = StoreCallsOf(deployment.Store().Stats()) - before;
   return { .storeCallsPerCall_ = static_cast<double>(made) / kCalls,
            .medianMs_ = MedianOf(times),
            .succeeded_ = succeeded };
@@ -105,9 +105,9 @@
 
 TEST(OnceFiguresTest, SharesWritesOfTheStoreBetweenCallsInFlight)
 {
-  std::vector<Figures> grouped;
+  std::vector<Measurement> grouped;
   for (const int inFlight : { 1, 10, 100 }) {
-    const Figures single = Measure(1, inFlight);
+    const Measurement single = Measure(1, inFlight);
     grouped.push_back(Measure(256, inFlight));
     LONGS_EQUAL(kCalls, single.succeeded_);
     LONGS_EQUAL(kCalls, grouped.back().succeeded_);
--- a/test/integration/gooseberrylift-once-test.cc
+++ b/test/integration/gooseberrylift-once-test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr seconds kPatience{ 20 };
+constexpr seconds kTimeout{ 20 };
 
 int CodeNumber(ResultCode aCode)
 {
@@ -33,7 +33,7 @@
 
 // Limits the service to one concurrent call, so that a test can hold a call
 // between its intent and its dispatch.
-json OnePlace()
+json SingleSlotConfig()
 {
   return json::parse(
     R"({"pools": [{"name": "llm"}, {"name": "board", "max_concurrency": 1}]})");
@@ -47,7 +47,9 @@
 LONGS_EQUAL(1, aAnswer.body_.value("runs", 0));
 }
 
-void CheckRefused(const OnceAnswer& aAnswer, ResultCode aCode, const char* aRan)
+void CheckRejected(const OnceAnswer& aAnswer,
+                   ResultCode aCode,
+                   const char* aRan)
 {
   CHECK_TRUE(aAnswer.answered_);
   CHECK_FALSE(aAnswer.late_);
@@ -57,12 +59,12 @@
 
 // Occupies the service's only slot, so that the next call is queued after its
 // intent was written. The slot is freed when the service stops hanging.
-std::future<OnceAnswer> HoldThePlace(Deployment& aDeployment)
+std::future<OnceAnswer> OccupySlot(Deployment& aDeployment)
 {
   aDeployment.Service(0).Control({ { "hang", true } });
   auto held =
     CallInBackground(aDeployment.At(0).Port(), "holds-the-place", seconds(15));
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     return RunsOf(aDeployment.Service(0), "holds-the-place") == 1;
   }));
   return held;
@@ -83,13 +85,13 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-TEST(OnceCallTest, RefusesAKeyThatCameWithAnotherBody)
+TEST(OnceCallTest, RejectsAKeyReusedWithAnotherBody)
 {
   Deployment deployment({ .hosts_ = 2 });
   CheckRanOnce(CallOnce(deployment.At(0).Port(), "k"));
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(5), "other"),
-               ResultCode::kOnceKeyReused,
-               "no");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(5), "other"),
+                ResultCode::kOnceKeyReused,
+                "no");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
@@ -111,39 +113,40 @@
 }
 
 // Guards against a second run when the host crashes while the service processes
-// the call. No other host can know whether the call ran, so a retry must be
-// answered "unknown" after the intent's lease has expired.
-TEST(OnceCallTest, SaysUnknownAfterTheHostDiedInDispatch)
+// the call and the caller's connection closes. No other host can know whether
+// the call ran, so a retry must be answered "unknown" after the intent's lease
+// has expired.
+TEST(OnceCallTest, RespondsUnknownAfterTheHostCrashedInDispatch)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Service(0).Control({ { "hang", true } });
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(WaitUntil(
-    kPatience, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
+    kTimeout, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
   deployment.At(0).Handle().Signal(SIGKILL);
   CHECK_FALSE(first.get().answered_);
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
 // The host crashes after it wrote the intent and before it sent the call. Other
 // hosts can't distinguish this from the case above, so a retry must get the
 // same response and the call must never run.
-TEST(OnceCallTest, SaysUnknownAfterTheHostDiedWithAnIntent)
+TEST(OnceCallTest, RespondsUnknownAfterTheHostCrashedWithAnIntent)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(
-    WaitUntil(kPatience, [&] { return RecordsIn(deployment.Store()) == 2; }));
+    WaitUntil(kTimeout, [&] { return RecordsIn(deployment.Store()) == 2; }));
   deployment.At(0).Handle().Signal(SIGKILL);
   CHECK_FALSE(first.get().answered_);
   deployment.Service(0).Control({ { "hang", false } });
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   LONGS_EQUAL(0, RunsOf(deployment.Service(0), "k"));
 }
 
@@ -153,16 +156,16 @@
 // send the call.
 TEST(OnceCallTest, DoesNotDispatchAfterAPausePastDeadlineAndLease)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(
-    WaitUntil(kPatience, [&] { return RecordsIn(deployment.Store()) == 2; }));
+    WaitUntil(kTimeout, [&] { return RecordsIn(deployment.Store()) == 2; }));
   deployment.At(0).Handle().Signal(SIGSTOP);
   deployment.Service(0).Control({ { "hang", false } });
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   deployment.At(0).Handle().Signal(SIGCONT);
   const OnceAnswer answer = first.get();
   CHECK_TRUE(answer.answered_);
@@ -175,8 +178,8 @@
 // is released, so that a retry with the same key runs.
 TEST(OnceCallTest, FreesTheKeyOfACallThatWasNotRun)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   const OnceAnswer first = CallOnce(deployment.At(0).Port(), "k", seconds(1));
   CHECK_TRUE(first.answered_);
   STRCMP_EQUAL("no", first.ran_.c_str());
@@ -187,19 +190,19 @@
 
 // The deadline expires while the service processes the call. The caller must be
 // told at once that the call may have run; "no" would be wrong, as it did run.
-TEST(OnceCallTest, SaysUnknownAtTheDeadlineOfADispatchedCall)
+TEST(OnceCallTest, RespondsUnknownAtTheDeadlineOfADispatchedCall)
 {
   Deployment deployment({ .hosts_ = 1 });
   deployment.Service(0).Control({ { "delay_ms", 3000 } });
-  CheckRefused(CallOnce(deployment.At(0).Port(), "k", seconds(1)),
-               ResultCode::kDeadlineExceeded,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(0).Port(), "k", seconds(1)),
+                ResultCode::kDeadlineExceeded,
+                "unknown");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
 // The caller disconnects while its call runs. The outcome must still be
 // recorded, so that a later retry gets it.
-TEST(OnceCallTest, RecordsTheOutcomeOfACallerWhoLeft)
+TEST(OnceCallTest, RecordsTheOutcomeAfterTheCallerDisconnects)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Service(0).Control({ { "delay_ms", 600 } });
@@ -227,19 +230,19 @@
 
 // Without the store no intent can be written: the call must be rejected well
 // before its deadline and not be sent. After the outage the same key must run.
-TEST(OnceCallTest, RefusesWhenTheStoreIsDownOrSilent)
+TEST(OnceCallTest, RejectsCallsWhenTheStoreIsDownOrHangs)
 {
   Deployment deployment({ .hosts_ = 1 });
   for (const char* fault : { "outage", "hang" }) {
     deployment.Store().Control({ { fault, true } });
     const OnceAnswer refused =
       CallOnce(deployment.At(0).Port(), fault, seconds(3));
-    CheckRefused(refused, ResultCode::kOnceStoreUnavailable, "no");
+    CheckRejected(refused, ResultCode::kOnceStoreUnavailable, "no");
     CHECK_TRUE(refused.retryAfter_);
     LONGS_EQUAL(0, RunsOf(deployment.Service(0), fault));
     deployment.Store().Control({ { fault, false } });
     OnceAnswer answer;
-    CHECK_TRUE(WaitUntil(kPatience, [&] {
+    CHECK_TRUE(WaitUntil(kTimeout, [&] {
       answer = CallOnce(deployment.At(0).Port(), fault, seconds(5));
       return answer.status_ == 200;
     }));
@@ -256,15 +259,15 @@
   deployment.Service(0).Control({ { "delay_ms", 500 } });
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(10));
   CHECK_TRUE(WaitUntil(
-    kPatience, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
+    kTimeout, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
   deployment.Store().Control({ { "outage", true } });
   CheckRanOnce(first.get());
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(3)),
-               ResultCode::kOnceStoreUnavailable,
-               "no");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(3)),
+                ResultCode::kOnceStoreUnavailable,
+                "no");
   deployment.Store().Control({ { "outage", false } });
   OnceAnswer again;
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     again = CallOnce(deployment.At(1).Port(), "k", seconds(5));
     return again.status_ == 200;
   }));
@@ -275,7 +278,7 @@
 // Three hosts write to the same buckets concurrently, so that all conditional
 // updates but one fail in each round. All calls must complete, with one run per
 // key.
-TEST(OnceCallTest, EndsEveryCallWhenHostsWriteTheSameBuckets)
+TEST(OnceCallTest, CompletesEveryCallWhenHostsWriteTheSameBuckets)
 {
   Deployment deployment({ .hosts_ = 3 });
   std::vector<std::future<OnceAnswer>> calls;
@@ -294,7 +297,7 @@
 // Guards against a retry at a second endpoint when the first crashes while it
 // processes the call. The call may have run, so the caller must be told that
 // instead, with or without a key.
-TEST(OnceCallTest, DoesNotSendACallOnAfterItsEndpointDied)
+TEST(OnceCallTest, DoesNotRetryACallAfterItsEndpointCrashed)
 {
   Deployment deployment({ .hosts_ = 1, .services_ = 2 });
   for (int service = 0; service < 2; ++service) {
@@ -302,7 +305,7 @@
   }
   auto call = CallInBackground(deployment.At(0).Port(), "k", seconds(10));
   int holder = -1;
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     holder = RunsOf(deployment.Service(0), "k") == 1   ? 0
              : RunsOf(deployment.Service(1), "k") == 1 ? 1
                                                        : -1;
@@ -313,9 +316,9 @@
   CHECK_TRUE(answer.answered_);
   STRCMP_EQUAL("unknown", answer.ran_.c_str());
   LONGS_EQUAL(0, deployment.Service(1 - holder).Stats().value("total", -1));
-  CheckRefused(CallOnce(deployment.At(0).Port(), "k", seconds(5)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(0).Port(), "k", seconds(5)),
+                ResultCode::kOnceUnknown,
+                "unknown");
 }
 
 // Guards against losing the outcome in a graceful shutdown right after the
@@ -326,6 +329,6 @@
   deployment.Store().Control({ { "delay_ms", 100 } });
   CheckRanOnce(CallOnce(deployment.At(0).Port(), "k"));
   deployment.At(0).Handle().Signal(SIGTERM);
-  LONGS_EQUAL(0, deployment.At(0).Handle().WaitForExit(kPatience));
+  LONGS_EQUAL(0, deployment.At(0).Handle().WaitForExit(kTimeout));
   CHECK_TRUE(CallOnce(deployment.At(1).Port(), "k").replayed_);
 }
--- a/test/integration/gooseberrylift-path-test.cc
+++ b/test/integration/gooseberrylift-path-test.cc
@@ -76,7 +76,7 @@
 // The engine accepts the request and sends nothing until the deadline. The
 // final response must have a Retry-After field; without it all callers of a
 // hanging engine would retry at the same moment.
-TEST(PathTest, TellsWhenToComeBackAfterTheDeadline)
+TEST(PathTest, SendsRetryAfterWhenTheDeadlineExpires)
 {
   Deployment deployment({ .engines_ = 1 });
   deployment.Engine(0).Control({ { "hang", true } });
@@ -90,7 +90,7 @@
 
 // The same for a non-idempotent call without a key: it may have run, so the
 // response must not ask the caller to retry.
-TEST(PathTest, AsksNobodyToRepeatACallThatMayHaveRun)
+TEST(PathTest, OmitsRetryAfterForACallThatMayHaveRun)
 {
   Deployment deployment({});
   deployment.Service(0).Control({ { "hang", true } });
--- a/test/integration/gooseberrylift-peers-test.cc
+++ b/test/integration/gooseberrylift-peers-test.cc
@@ -21,7 +21,7 @@
   return aHost.Status().value("peers", json::array()).size();
 }
 
-bool AllSee(Deployment& aDeployment, std::size_t aCount)
+bool WaitForPeers(Deployment& aDeployment, std::size_t aCount)
 {
   return WaitUntil(kLimit, [&] {
     for (std::size_t index = 0; index < aDeployment.Hosts(); ++index) {
@@ -33,7 +33,7 @@
   });
 }
 
-json WithKeys(const json& aKeys)
+json PeerKeySettings(const json& aKeys)
 {
   return { { "peer", { { "port", 0 }, { "keys", aKeys } } } };
 }
@@ -55,46 +55,49 @@
 TEST(PeersTest, HearOneAnotherWhileTheStoreIsDownAndAfterAPause)
 {
   Deployment deployment({ .hosts_ = 4 });
-  CHECK_TRUE(AllSee(deployment, 3));
+  CHECK_TRUE(WaitForPeers(deployment, 3));
   deployment.Store().Control({ { "outage", true } });
   deployment.At(3).Handle().Signal(SIGSTOP);
   CHECK_TRUE(WaitUntil(kLimit, [&] { return PeersOf(deployment.At(0)) == 2; }));
   deployment.At(3).Handle().Signal(SIGCONT);
-  CHECK_TRUE(AllSee(deployment, 3));
+  CHECK_TRUE(WaitForPeers(deployment, 3));
 }
 
 // During a key rotation a host has the new key first and still accepts the old
 // one. It must be able to communicate with hosts that have only the old or only
 // the new key.
-TEST(PeersTest, UnderstandOneAnotherInTheMiddleOfAKeyRotation)
+TEST(PeersTest, ExchangeDigestsDuringAKeyRotation)
 {
-  Deployment deployment(
-    { .hosts_ = 2,
-      .host_ = WithKeys({ "old-key-0123456789", "new-key-0123456789" }) });
-  deployment.AddHost(WithKeys({ "new-key-0123456789", "old-key-0123456789" }));
-  CHECK_TRUE(AllSee(deployment, 2));
+  Deployment deployment({ .hosts_ = 2,
+                          .host_ = PeerKeySettings(
+                            { "old-key-0123456789", "new-key-0123456789" }) });
+  deployment.AddHost(
+    PeerKeySettings({ "new-key-0123456789", "old-key-0123456789" }));
+  CHECK_TRUE(WaitForPeers(deployment, 2));
 }
 
 // A host with a different key is registered in the store, but must neither
 // receive digests nor have its own accepted.
-TEST(PeersTest, RefuseAHostWithAnotherKey)
+TEST(PeersTest, RejectAHostWithAnotherKey)
 {
   Deployment deployment(
-    { .hosts_ = 2, .host_ = WithKeys({ "good-key-0123456789" }) });
-  Host& stranger = deployment.AddHost(WithKeys({ "evil-key-0123456789" }));
+    { .hosts_ = 2, .host_ = PeerKeySettings({ "good-key-0123456789" }) });
+  Host& unauthorized =
+    deployment.AddHost(PeerKeySettings({ "evil-key-0123456789" }));
   const auto refused = [](Host& aHost) {
     return aHost.Handle().Output().find("\"event\":1600") != std::string::npos;
   };
-  CHECK_TRUE(WaitUntil(
-    kLimit, [&] { return refused(stranger) || refused(deployment.At(0)); }));
+  CHECK_TRUE(WaitUntil(kLimit, [&] {
+    return refused(unauthorized) || refused(deployment.At(0));
+  }));
   CHECK_TRUE(WaitUntil(kLimit, [&] { return PeersOf(deployment.At(0)) == 1; }));
-  LONGS_EQUAL(0, PeersOf(stranger));
+  LONGS_EQUAL(0, PeersOf(unauthorized));
 }
 
 // Guards against replay attacks: a recorded message is sent again. Its
-// signature would be valid (this test uses no key), but its sequence number was
-// already used, so it must be ignored.
-TEST(PeersTest, RefuseAMessageThatIsSentTwice)
+// signature would be valid (this test uses no key), but its nonce was already
+// used, so it must be ignored.
+TEST(PeersTest, RejectReplayedMessages)
 {
   Deployment deployment({ .hosts_ = 1 });
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -125,13 +128,13 @@
   constexpr int kHosts = 9;
   constexpr int kSeconds = 10;
   Deployment deployment({ .hosts_ = kHosts });
-  CHECK_TRUE(AllSee(deployment, kHosts - 1));
+  CHECK_TRUE(WaitForPeers(deployment, kHosts - 1));
   const json before = deployment.Store().Stats();
   CHECK_FALSE(WaitUntil(std::chrono::seconds(kSeconds), [] { return false; }));
   const json after = deployment.Store().Stats();
   for (const char* kind : { "read", "list", "watch", "write" }) {
     const double calls = after.value(kind, 0.0) - before.value(kind, 0.0);
-    std::printf("store calls a second and host at rest: %s %.2f\n",
+    std::printf("store calls per second and host when idle: %s %.2f\n",
                 kind,
                 calls / kHosts / kSeconds);
   }
--- a/test/integration/gooseberrylift-planned-stop-test.cc
+++ b/test/integration/gooseberrylift-planned-stop-test.cc
@@ -29,7 +29,7 @@
 
 // Simulates the platform's load balancer: polls /readyz and gives callers only
 // hosts that were ready at the last poll.
-class Balancer
+class LoadBalancer
 {
 public:
   void SetHosts(std::vector<Host*> aHosts)
@@ -39,7 +39,7 @@
     ready_ = hosts_;
   }
 
-  void Look()
+  void PollReadiness()
   {
     std::vector<Host*> hosts;
     {
@@ -72,7 +72,7 @@
 };
 
 // A caller that reuses its connections between calls.
-class KeepingCaller
+class PersistentCaller
 {
 public:
   Outcome<HttpResponse> Call(std::uint16_t aPort, HttpRequest aRequest)
@@ -98,10 +98,10 @@
 
 // Generates load until destroyed: streams, non-streamed completions and service
 // calls from several callers. Compares every response byte for byte.
-class CheckedLoad
+class LoadGenerator
 {
 public:
-  CheckedLoad(Balancer& aBalancer, int aCallers)
+  LoadGenerator(LoadBalancer& aBalancer, int aCallers)
     : balancer_(aBalancer)
   {
     threads_.reserve(static_cast<std::size_t>(aCallers) + 1);
@@ -110,15 +110,15 @@
     }
     threads_.emplace_back([this] {
       while (!done_) {
-        balancer_.Look();
+        balancer_.PollReadiness();
         std::this_thread::sleep_for(milliseconds(50));
       }
     });
   }
 
-  ~CheckedLoad() { Stop(); }
-  CheckedLoad(const CheckedLoad&) = delete;
-  CheckedLoad& operator=(const CheckedLoad&) = delete;
+  ~LoadGenerator() { Stop(); }
+  LoadGenerator(const LoadGenerator&) = delete;
+  LoadGenerator& operator=(const LoadGenerator&) = delete;
 
   void Stop()
   {
@@ -129,20 +129,20 @@
     threads_.clear();
   }
 
-  int Whole() const { return whole_; }
+  int Succeeded() const { return succeeded_; }
   int Failed() const { return failed_; }
 
-  /// Waits for a number of further responses.
+  /// Waits for a number of further correct responses.
   bool WaitForMore(int aAnswers)
   {
-    const int goal = whole_ + aAnswers;
-    return WaitUntil(seconds(60), [&] { return whole_ >= goal; });
+    const int goal = succeeded_ + aAnswers;
+    return WaitUntil(seconds(60), [&] { return succeeded_ >= goal; });
   }
 
 private:
   void RunCaller(int aCaller)
   {
-    KeepingCaller keeping;
+    PersistentCaller persistent;
     for (int call = 0; !done_; ++call) {
       const std::string tag =
         "caller-" + std::to_string(aCaller) + "-" + std::to_string(call);
@@ -150,10 +150,10 @@
       const int kind = aCaller < kLongCallers ? kLongStream : call % 4;
       HttpRequest request = RequestOf(tag, kind);
       const auto answer = aCaller % 2 == 0
-                            ? keeping.Call(port, std::move(request))
+                            ? persistent.Call(port, std::move(request))
                             : Send(port, std::move(request));
-      if (IsOwnAnswer(tag, kind, answer)) {
-        ++whole_;
+      if (IsExpectedResponse(tag, kind, answer)) {
+        ++succeeded_;
       } else {
         ++failed_;
         std::printf("failed: %s kind %d: %s\n",
@@ -181,9 +181,9 @@
     return ChatRequest(aTag, TokensOf(aKind), IsStream(aKind));
   }
 
-  static bool IsOwnAnswer(const std::string& aTag,
-                          int aKind,
-                          const Outcome<HttpResponse>& aAnswer)
+  static bool IsExpectedResponse(const std::string& aTag,
+                                 int aKind,
+                                 const Outcome<HttpResponse>& aAnswer)
   {
     if (!aAnswer || aAnswer.value().status_ != 200) {
       return false;
@@ -200,9 +200,9 @@
                       : body.value("path", "") == "/" + aTag;
   }
 
-  Balancer& balancer_;
+  LoadBalancer& balancer_;
   std::atomic<bool> done_ = false;
-  std::atomic<int> whole_ = 0;
+  std::atomic<int> succeeded_ = 0;
   std::atomic<int> failed_ = 0;
   std::vector<std::thread> threads_;
 };
@@ -224,7 +224,7 @@
 TEST_GROUP(PlannedStopTest)
 {
   Deployment deployment_{ ThreeHosts() };
-  Balancer balancer_;
+  LoadBalancer balancer_;
 
   void UseHosts(std::initializer_list<std::size_t> aIndices)
   {
@@ -236,7 +236,7 @@
   }
 
   // Stops a host and checks that it exits cleanly within drain lag and limit.
-  void StopsCleanly(std::size_t aIndex)
+  void CheckCleanStop(std::size_t aIndex)
   {
     Process& process = deployment_.At(aIndex).Handle();
     process.Signal(SIGTERM);
@@ -251,13 +251,14 @@
 TEST(PlannedStopTest, StopsOneHostUnderLoadWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
-  StopsCleanly(0);
+  CheckCleanStop(0);
   UseHosts({ 1, 2 });
   CHECK_TRUE(load.WaitForMore(50));
   load.Stop();
-  std::printf("one stop: %d whole, %d failed\n", load.Whole(), load.Failed());
+  std::printf(
+    "one stop: %d succeeded, %d failed\n", load.Succeeded(), load.Failed());
   LONGS_EQUAL(0, load.Failed());
 }
 
@@ -265,10 +266,10 @@
 TEST(PlannedStopTest, ReplacesAllHostsInTurnWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(50));
   for (std::size_t index = 0; index < 3; ++index) {
-    StopsCleanly(index);
+    CheckCleanStop(index);
     CHECK_TRUE(deployment_.AddHost().WaitReady(seconds(20)));
     std::vector<Host*> hosts;
     for (std::size_t other = index + 1; other < deployment_.Hosts(); ++other) {
@@ -278,8 +279,9 @@
     CHECK_TRUE(load.WaitForMore(50));
   }
   load.Stop();
-  std::printf(
-    "all in turn: %d whole, %d failed\n", load.Whole(), load.Failed());
+  std::printf("rolling restart: %d succeeded, %d failed\n",
+              load.Succeeded(),
+              load.Failed());
   LONGS_EQUAL(0, load.Failed());
 }
 
@@ -310,12 +312,12 @@
 TEST(PlannedStopTest, GivesALeavingEndpointNoNewWorkThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   json list = deployment_.HostList();
   list[0]["state"] = "leaving";
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the documented upper bound
+  std::this_thread::sleep_for(seconds(3)); // the promised upper bound
   const int started = deployment_.Engine(0).Stats().value("started", -1);
   CHECK_TRUE(started > 0);
   CHECK_TRUE(load.WaitForMore(200));
@@ -327,20 +329,21 @@
 // The engine reports that it drains in its load report and by rejecting new
 // requests, while the host list still shows it as live. Each host may get a few
 // rejections for requests in flight at that moment, and none later.
-TEST(PlannedStopTest, BelievesALeavingEndpointsOwnWordAtOnce)
+TEST(PlannedStopTest, StopsNewWorkAtOnceWhenAnEngineReportsThatItIsLeaving)
 {
   constexpr int kUnderWay = kCallers;
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   deployment_.Engine(0).Control({ { "leaving", true } });
   CHECK_TRUE(load.WaitForMore(200));
   load.Stop();
   const int refused = deployment_.Engine(0).Stats().value("refused", -1);
-  std::printf("own word: %d refusals, %d whole, %d failed\n",
-              refused,
-              load.Whole(),
-              load.Failed());
+  std::printf(
+    "leaving reported by an engine: %d rejections, %d succeeded, %d failed\n",
+    refused,
+    load.Succeeded(),
+    load.Failed());
   CHECK_TRUE(refused >= 0);
   CHECK_TRUE(refused <= kUnderWay);
   LONGS_EQUAL(0, load.Failed());
@@ -349,19 +352,20 @@
 // The same for a plain service that reports that it drains while the host list
 // still shows it as live. Rejected calls have not run and must be retried at
 // the other endpoint.
-TEST(PlannedStopTest, BelievesALeavingServicesOwnWordWithoutFailingACall)
+TEST(PlannedStopTest, RetriesElsewhereWhenAServiceReportsThatItIsLeaving)
 {
   constexpr int kUnderWay = kCallers;
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   deployment_.Service(0).Control({ { "leaving", true } });
   CHECK_TRUE(load.WaitForMore(200));
   load.Stop();
   const json stats = deployment_.Service(0).Stats();
   const int refused = stats.value("refused", -1);
-  std::printf(
-    "own word of a service: %d refusals, %d failed\n", refused, load.Failed());
+  std::printf("leaving reported by a service: %d rejections, %d failed\n",
+              refused,
+              load.Failed());
   CHECK_TRUE(stats.value("total", 0) > 0);
   CHECK_TRUE(refused >= 0);
   CHECK_TRUE(refused <= kUnderWay);
@@ -373,7 +377,7 @@
 TEST(PlannedStopTest, GivesALeavingServiceNoNewCallThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   json list = deployment_.HostList();
   for (json& host : list) {
@@ -382,7 +386,7 @@
     }
   }
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the documented upper bound
+  std::this_thread::sleep_for(seconds(3)); // the promised upper bound
   const int total = deployment_.Service(0).Stats().value("total", -1);
   CHECK_TRUE(total > 0);
   CHECK_TRUE(load.WaitForMore(200));
--- a/test/integration/gooseberrylift-proxy-test.cc
+++ b/test/integration/gooseberrylift-proxy-test.cc
@@ -21,7 +21,7 @@
               std::chrono::milliseconds(aLimitMs));
 }
 
-std::string PathIn(const Outcome<HttpResponse>& aAnswer)
+std::string PathOrError(const Outcome<HttpResponse>& aAnswer)
 {
   if (!aAnswer) {
     return "failed with " +
@@ -43,16 +43,16 @@
   }
 };
 
-TEST(ProxyTest, PassesOnWithoutAScript)
+TEST(ProxyTest, ForwardsWithoutAScript)
 {
-  STRCMP_EQUAL("/a", PathIn(Call(proxy_, "/a")).c_str());
+  STRCMP_EQUAL("/a", PathOrError(Call(proxy_, "/a")).c_str());
 }
 
 TEST(ProxyTest, DelaysAnAnswer)
 {
   proxy_.Script({ { { "fault", "delay" }, { "delay_ms", 150 } } });
   const auto begin = std::chrono::steady_clock::now();
-  STRCMP_EQUAL("/a", PathIn(Call(proxy_, "/a")).c_str());
+  STRCMP_EQUAL("/a", PathOrError(Call(proxy_, "/a")).c_str());
   CHECK_TRUE(std::chrono::steady_clock::now() - begin >=
              std::chrono::milliseconds(300)); // delayed in both directions
 }
@@ -62,7 +62,7 @@
   proxy_.Script({ { { "fault", "drop" }, { "count", 1 } } });
   CHECK_FALSE(Call(proxy_, "/a").has_value());
   LONGS_EQUAL(0, Runs());
-  STRCMP_EQUAL("/b", PathIn(Call(proxy_, "/b")).c_str());
+  STRCMP_EQUAL("/b", PathOrError(Call(proxy_, "/b")).c_str());
   LONGS_EQUAL(1, proxy_.Hits("drop"));
 }
 
@@ -88,23 +88,23 @@
   LONGS_EQUAL(1, Runs());
 }
 
-TEST(ProxyTest, SwallowsWhatGoesIntoABlackHole)
+TEST(ProxyTest, DiscardsAllBytesInABlackHole)
 {
   proxy_.Script({ { { "fault", "black_hole" }, { "match", "POST /a" } } });
   const auto answer = Call(proxy_, "/a", 300);
   CHECK_FALSE(answer.has_value());
   CHECK_TRUE(answer.error().code_ == ResultCode::kDeadlineExceeded);
-  STRCMP_EQUAL("/b", PathIn(Call(proxy_, "/b")).c_str());
+  STRCMP_EQUAL("/b", PathOrError(Call(proxy_, "/b")).c_str());
 }
 
-TEST(ProxyTest, RefusesConnectionsWhileTheRuleStands)
+TEST(ProxyTest, RefusesConnectionsWhileTheRuleIsActive)
 {
   proxy_.Script({ { { "fault", "refuse" } } });
   const auto answer = Call(proxy_, "/a");
   CHECK_FALSE(answer.has_value());
   CHECK_TRUE(answer.error().code_ == ResultCode::kEndpointUnreachable);
   proxy_.Script(json::array());
-  STRCMP_EQUAL("/b", PathIn(Call(proxy_, "/b")).c_str());
+  STRCMP_EQUAL("/b", PathOrError(Call(proxy_, "/b")).c_str());
 }
 
 TEST(ProxyTest, LosesTheAnswerOfARequestThatRan)
@@ -114,13 +114,13 @@
   LONGS_EQUAL(1, Runs());
 }
 
-TEST(ProxyTest, CrossesTheAnswersOfTwoConnections)
+TEST(ProxyTest, SwapsTheResponsesOfTwoConnections)
 {
   service_.Control({ { "delay_ms", 100 } });
   proxy_.Script({ { { "fault", "cross" }, { "hold_ms", 5000 } } });
   std::string first;
-  std::thread other([&] { first = PathIn(Call(proxy_, "/a")); });
-  const std::string second = PathIn(Call(proxy_, "/b"));
+  std::thread other([&] { first = PathOrError(Call(proxy_, "/a")); });
+  const std::string second = PathOrError(Call(proxy_, "/b"));
   other.join();
   STRCMP_EQUAL("/b", first.c_str());
   STRCMP_EQUAL("/a", second.c_str());
--- a/test/integration/gooseberrylift-silent-engine-test.cc
+++ b/test/integration/gooseberrylift-silent-engine-test.cc
@@ -14,7 +14,7 @@
 // requests. After the time limit for the first token the host must retry at
 // another engine, and after two such faults it must exclude the hanging engine
 // for a while.
-TEST(SilentEngineTest, AnswersInTimeBesideAnEngineThatHangs)
+TEST(SilentEngineTest, RespondsInTimeWhenOneEngineHangs)
 {
   Deployment deployment({ .engines_ = 3 });
   const std::uint16_t port = deployment.At(0).Port();
--- a/test/integration/gooseberrylift-stream-test.cc
+++ b/test/integration/gooseberrylift-stream-test.cc
@@ -29,10 +29,10 @@
 constexpr milliseconds kLateness{ 250 };
 
 // Engines that are killed and replaced by new engines with new names.
-class Fleet
+class ReplaceableEngines
 {
 public:
-  Fleet(Deployment& aDeployment, int aEngines)
+  ReplaceableEngines(Deployment& aDeployment, int aEngines)
     : deployment_(aDeployment)
   {
     for (int engine = 0; engine < aEngines; ++engine) {
@@ -100,8 +100,8 @@
   bool whole = false;
   const std::string text =
     answer ? StreamText(answer.value().body_, &whole) : "";
-  const bool right = whole && text == fakes::ReferenceAnswer(prompt, kTokens);
-  if (!right) {
+  const bool correct = whole && text == fakes::ReferenceAnswer(prompt, kTokens);
+  if (!correct) {
     ++aCounts.wrong_;
     std::cout << "stream " << aStream << ": "
               << (answer ? answer.value().body_.substr(
@@ -121,12 +121,12 @@
 // times and replaced. Each stream must resume at another engine after its last
 // token, so that the caller gets every token once and in order, and the end
 // marker.
-TEST(StreamTest, EndsEveryStreamWholeWhenEnginesDie)
+TEST(StreamTest, CompletesEveryStreamWhenEnginesCrash)
 {
   const char* seedText = std::getenv("STREAM_SEED");
   const int seed = seedText == nullptr ? 1 : std::atoi(seedText);
   Deployment deployment({ .hosts_ = 2, .engines_ = 0 });
-  Fleet fleet(deployment, 6);
+  ReplaceableEngines engines(deployment, 6);
   CHECK_TRUE(WaitUntil(seconds(20), [&] {
     const auto first =
       Send(deployment.At(0).Port(), ChatRequest("ready?", 1, false));
@@ -150,7 +150,7 @@
   int kills = 0;
   while (counts.next_ < kStreams) {
     std::this_thread::sleep_for(milliseconds(100 + random() % 200));
-    fleet.Replace(random() % 6);
+    engines.Replace(random() % 6);
     ++kills;
   }
   for (std::thread& caller : callers) {
--- a/test/integration/gooseberrylift-whole-answer-test.cc
+++ b/test/integration/gooseberrylift-whole-answer-test.cc
@@ -49,8 +49,8 @@
 // Totals of the callers' results over all threads.
 struct SoakCounts
 {
-  std::atomic<int> whole_ = 0;
-  std::atomic<int> refused_ = 0;
+  std::atomic<int> complete_ = 0;
+  std::atomic<int> rejected_ = 0;
   std::atomic<int> cutStreams_ = 0;
   std::atomic<int> wrong_ = 0;
 
@@ -58,16 +58,16 @@
   std::map<int, int> codes_;
   std::vector<std::string> notRun_; // IDs of requests rejected with "ran": "no"
 
-  void NoteWrong(const HttpResponse& aAnswer)
+  void RecordWrong(const HttpResponse& aAnswer)
   {
     ++wrong_;
     const std::lock_guard lock(mutex_);
     std::printf("wrong: %s\n", aAnswer.body_.c_str());
   }
 
-  void NoteRefusal(const HttpResponse& aAnswer)
+  void RecordRejection(const HttpResponse& aAnswer)
   {
-    ++refused_;
+    ++rejected_;
     const json body = json::parse(aAnswer.body_, nullptr, false);
     const std::lock_guard lock(mutex_);
     ++codes_[CodeOf(aAnswer)];
@@ -85,7 +85,7 @@
 {
   const std::string expected = fakes::ReferenceAnswer(aPrompt, aTokens);
   if (aAnswer.status_ != 200) {
-    aCounts.NoteRefusal(aAnswer);
+    aCounts.RecordRejection(aAnswer);
     return;
   }
   std::string text;
@@ -97,11 +97,11 @@
     text = body.value("/choices/0/message/content"_json_pointer, "");
   }
   if (whole && text == expected) {
-    ++aCounts.whole_;
+    ++aCounts.complete_;
   } else if (!whole && expected.starts_with(text)) {
     ++aCounts.cutStreams_;
   } else {
-    aCounts.NoteWrong(aAnswer);
+    aCounts.RecordWrong(aAnswer);
   }
 }
 
@@ -111,7 +111,7 @@
                       SoakCounts& aCounts)
 {
   if (aAnswer.status_ != 200) {
-    aCounts.NoteRefusal(aAnswer);
+    aCounts.RecordRejection(aAnswer);
     return;
   }
   const json body = json::parse(aAnswer.body_, nullptr, false);
@@ -119,9 +119,9 @@
                    body.value("body", "") == aBody &&
                    body.value("tag", "") == aPath;
   if (own) {
-    ++aCounts.whole_;
+    ++aCounts.complete_;
   } else {
-    aCounts.NoteWrong(aAnswer);
+    aCounts.RecordWrong(aAnswer);
   }
 }
 
@@ -202,16 +202,17 @@
   for (int index = 0; index < 4; ++index) {
     hits.push_back(deployment.EngineProxy(index).Stats().at("hits"));
   }
-  std::printf("soak: %d whole and own, %d refused, %d cut streams, %d wrong; "
-              "codes %s; engine faults %s\n",
-              counts.whole_.load(),
-              counts.refused_.load(),
-              counts.cutStreams_.load(),
-              counts.wrong_.load(),
-              json(counts.codes_).dump().c_str(),
-              hits.dump().c_str());
+  std::printf(
+    "soak: %d complete and correct, %d rejected, %d cut streams, %d wrong; "
+    "codes %s; engine faults %s\n",
+    counts.complete_.load(),
+    counts.rejected_.load(),
+    counts.cutStreams_.load(),
+    counts.wrong_.load(),
+    json(counts.codes_).dump().c_str(),
+    hits.dump().c_str());
   LONGS_EQUAL(0, counts.wrong_);
-  CHECK_TRUE(counts.whole_ > kCallers * kCallsEach / 2);
+  CHECK_TRUE(counts.complete_ > kCallers * kCallsEach / 2);
   CHECK_TRUE(deployment.ServiceProxy(0).Hits("cross") > 0);
   CHECK_TRUE(deployment.ServiceProxy(0).Hits("stale") > 0);
   const std::map<std::string, int> runs = RunsOf(deployment, kServices);
