--- a/test/integration/gooseberrylift-once-test.cc
+++ b/test/integration/gooseberrylift-once-test.cc
@@ -1,5 +1,5 @@
-// Calls that may not be repeated, on real processes: a plain service counts
-// each run, and callers send again through other hosts at every step.
+// Tests at-most-once calls. A plain service counts the runs of each call, and
+// callers retry through other hosts at every step.
 
 #include "once-calls.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr seconds kPatience{ 20 };
+constexpr seconds kTimeout{ 20 };
 
 int CodeNumber(ResultCode aCode)
 {
@@ -31,9 +31,9 @@
   });
 }
 
-// One place at the service, so that a call can be held between its intent and
-// its dispatch.
-json OnePlace()
+// Limits the service to one concurrent call, so that a test can hold a call
+// between its intent and its dispatch.
+json SingleSlotConfig()
 {
   return json::parse(
     R"({"pools": [{"name": "llm"}, {"name": "board", "max_concurrency": 1}]})");
@@ -47,7 +47,9 @@
 LONGS_EQUAL(1, aAnswer.body_.value("runs", 0));
 }
 
-void CheckRefused(const OnceAnswer& aAnswer, ResultCode aCode, const char* aRan)
+void CheckRejected(const OnceAnswer& aAnswer,
+                   ResultCode aCode,
+                   const char* aRan)
 {
   CHECK_TRUE(aAnswer.answered_);
   CHECK_FALSE(aAnswer.late_);
@@ -55,14 +57,14 @@
   STRCMP_EQUAL(aRan, aAnswer.ran_.c_str());
 }
 
-// Fills the service's one place, so that the next call waits behind it with
-// its intent written. The place is free again once the service stops to hang.
-std::future<OnceAnswer> HoldThePlace(Deployment& aDeployment)
+// Occupies the service's only slot, so that the next call is queued after its
+// intent was written. The slot is freed when the service stops hanging.
+std::future<OnceAnswer> OccupySlot(Deployment& aDeployment)
 {
   aDeployment.Service(0).Control({ { "hang", true } });
   auto held =
     CallInBackground(aDeployment.At(0).Port(), "holds-the-place", seconds(15));
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     return RunsOf(aDeployment.Service(0), "holds-the-place") == 1;
   }));
   return held;
@@ -70,8 +72,9 @@
 }
 ;
 
-// The answer is lost on its way to the caller, who sends again through another
-// host: it gets the recorded answer, and the service sees nothing.
+// Guards against a second run when the response is lost on its way to the
+// caller and the caller retries through another host: the host must replay the
+// recorded response without calling the service.
 TEST(OnceCallTest, ReplaysTheAnswerThroughAnotherHost)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -82,18 +85,18 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-TEST(OnceCallTest, RefusesAKeyThatCameWithAnotherBody)
+TEST(OnceCallTest, RejectsAKeyReusedWithAnotherBody)
 {
   Deployment deployment({ .hosts_ = 2 });
   CheckRanOnce(CallOnce(deployment.At(0).Port(), "k"));
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(5), "other"),
-               ResultCode::kOnceKeyReused,
-               "no");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(5), "other"),
+                ResultCode::kOnceKeyReused,
+                "no");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// An impatient caller sends again through every host while the call runs. All
-// wait for the one run and get its answer.
+// Guards against concurrent runs when a caller retries through every host while
+// the call runs. All duplicates must wait for the one run and get its response.
 TEST(OnceCallTest, MakesDuplicatesWaitForTheOneRun)
 {
   Deployment deployment({ .hosts_ = 3 });
@@ -109,58 +112,60 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host dies while the service works on the call, and the caller sees its
-// connection break. Whether the call ran can't be known from outside, so it is
-// told "unknown" once the intent's lease is over, and nothing runs again.
-TEST(OnceCallTest, SaysUnknownAfterTheHostDiedInDispatch)
+// Guards against a second run when the host crashes while the service processes
+// the call and the caller's connection closes. No other host can know whether
+// the call ran, so a retry must be answered "unknown" after the intent's lease
+// has expired.
+TEST(OnceCallTest, RespondsUnknownAfterTheHostCrashedInDispatch)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Service(0).Control({ { "hang", true } });
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(WaitUntil(
-    kPatience, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
+    kTimeout, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
   deployment.At(0).Handle().Signal(SIGKILL);
   CHECK_FALSE(first.get().answered_);
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host dies after it wrote the intent and before it sent anything. Nobody
-// can tell this from the case above, so the answer is the same and the call
-// never runs.
-TEST(OnceCallTest, SaysUnknownAfterTheHostDiedWithAnIntent)
+// The host crashes after it wrote the intent and before it sent the call. Other
+// hosts can't distinguish this from the case above, so a retry must get the
+// same response and the call must never run.
+TEST(OnceCallTest, RespondsUnknownAfterTheHostCrashedWithAnIntent)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(
-    WaitUntil(kPatience, [&] { return RecordsIn(deployment.Store()) == 2; }));
+    WaitUntil(kTimeout, [&] { return RecordsIn(deployment.Store()) == 2; }));
   deployment.At(0).Handle().Signal(SIGKILL);
   CHECK_FALSE(first.get().answered_);
   deployment.Service(0).Control({ { "hang", false } });
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   LONGS_EQUAL(0, RunsOf(deployment.Service(0), "k"));
 }
 
-// The host is stopped with an intent written, its deadline and lease pass, and
-// the caller is told "unknown" by another host. When the stopped host goes on,
-// its place is free, but it must not send: its time is over.
+// Guards against a dispatch by a host that was paused after it wrote the
+// intent. The deadline and the lease expire, and another host answers
+// "unknown". When the paused host resumes, the slot is free, but it must not
+// send the call.
 TEST(OnceCallTest, DoesNotDispatchAfterAPausePastDeadlineAndLease)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(2));
   CHECK_TRUE(
-    WaitUntil(kPatience, [&] { return RecordsIn(deployment.Store()) == 2; }));
+    WaitUntil(kTimeout, [&] { return RecordsIn(deployment.Store()) == 2; }));
   deployment.At(0).Handle().Signal(SIGSTOP);
   deployment.Service(0).Control({ { "hang", false } });
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(10)),
+                ResultCode::kOnceUnknown,
+                "unknown");
   deployment.At(0).Handle().Signal(SIGCONT);
   const OnceAnswer answer = first.get();
   CHECK_TRUE(answer.answered_);
@@ -169,12 +174,12 @@
   LONGS_EQUAL(0, RunsOf(deployment.Service(0), "k"));
 }
 
-// A call whose deadline passes in the queue is answered "not run", and that
-// frees its key: the caller may send it again, and it runs.
+// A call whose deadline expires in the queue is answered "not run" and its key
+// is released, so that a retry with the same key runs.
 TEST(OnceCallTest, FreesTheKeyOfACallThatWasNotRun)
 {
-  Deployment deployment({ .hosts_ = 2, .config_ = OnePlace() });
-  auto held = HoldThePlace(deployment);
+  Deployment deployment({ .hosts_ = 2, .config_ = SingleSlotConfig() });
+  auto held = OccupySlot(deployment);
   const OnceAnswer first = CallOnce(deployment.At(0).Port(), "k", seconds(1));
   CHECK_TRUE(first.answered_);
   STRCMP_EQUAL("no", first.ran_.c_str());
@@ -183,21 +188,21 @@
   CheckRanOnce(CallOnce(deployment.At(1).Port(), "k", seconds(10)));
 }
 
-// The deadline passes while the service works. The caller is told at once that
-// the call may have run; it did, so "no" would be a lie.
-TEST(OnceCallTest, SaysUnknownAtTheDeadlineOfADispatchedCall)
+// The deadline expires while the service processes the call. The caller must be
+// told at once that the call may have run; "no" would be wrong, as it did run.
+TEST(OnceCallTest, RespondsUnknownAtTheDeadlineOfADispatchedCall)
 {
   Deployment deployment({ .hosts_ = 1 });
   deployment.Service(0).Control({ { "delay_ms", 3000 } });
-  CheckRefused(CallOnce(deployment.At(0).Port(), "k", seconds(1)),
-               ResultCode::kDeadlineExceeded,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(0).Port(), "k", seconds(1)),
+                ResultCode::kDeadlineExceeded,
+                "unknown");
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The caller leaves while its call runs. The outcome is recorded all the same
-// and waits for the caller's return.
-TEST(OnceCallTest, RecordsTheOutcomeOfACallerWhoLeft)
+// The caller disconnects while its call runs. The outcome must still be
+// recorded, so that a later retry gets it.
+TEST(OnceCallTest, RecordsTheOutcomeAfterTheCallerDisconnects)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Service(0).Control({ { "delay_ms", 600 } });
@@ -209,8 +214,8 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// The store takes the intent and its answer is lost. The host reads back,
-// finds its own nonce, and runs the call once.
+// The store writes the intent but its response is lost. The host must read the
+// record back, recognize its own nonce, and run the call once.
 TEST(OnceCallTest, RunsOnceWhenTheStoresAnswersAreLost)
 {
   Deployment deployment({ .hosts_ = 2 });
@@ -223,21 +228,21 @@
   }
 }
 
-// Without the store no intent can be written: the caller is refused well before
-// its deadline and nothing is sent. After the outage the same key runs.
-TEST(OnceCallTest, RefusesWhenTheStoreIsDownOrSilent)
+// Without the store no intent can be written: the call must be rejected well
+// before its deadline and not be sent. After the outage the same key must run.
+TEST(OnceCallTest, RejectsCallsWhenTheStoreIsDownOrHangs)
 {
   Deployment deployment({ .hosts_ = 1 });
   for (const char* fault : { "outage", "hang" }) {
     deployment.Store().Control({ { fault, true } });
     const OnceAnswer refused =
       CallOnce(deployment.At(0).Port(), fault, seconds(3));
-    CheckRefused(refused, ResultCode::kOnceStoreUnavailable, "no");
+    CheckRejected(refused, ResultCode::kOnceStoreUnavailable, "no");
     CHECK_TRUE(refused.retryAfter_);
     LONGS_EQUAL(0, RunsOf(deployment.Service(0), fault));
     deployment.Store().Control({ { fault, false } });
     OnceAnswer answer;
-    CHECK_TRUE(WaitUntil(kPatience, [&] {
+    CHECK_TRUE(WaitUntil(kTimeout, [&] {
       answer = CallOnce(deployment.At(0).Port(), fault, seconds(5));
       return answer.status_ == 200;
     }));
@@ -245,24 +250,24 @@
   }
 }
 
-// The store goes down between intent and outcome. The caller gets its answer;
-// the outcome is recorded when the store is back, and until then no host runs
-// the call again.
+// The store fails between intent and outcome. The caller must get its response;
+// the outcome must be recorded once the store has recovered, and until then no
+// host may run the call again.
 TEST(OnceCallTest, RecordsTheOutcomeAfterAnOutageInTheMiddle)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Service(0).Control({ { "delay_ms", 500 } });
   auto first = CallInBackground(deployment.At(0).Port(), "k", seconds(10));
   CHECK_TRUE(WaitUntil(
-    kPatience, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
+    kTimeout, [&] { return RunsOf(deployment.Service(0), "k") == 1; }));
   deployment.Store().Control({ { "outage", true } });
   CheckRanOnce(first.get());
-  CheckRefused(CallOnce(deployment.At(1).Port(), "k", seconds(3)),
-               ResultCode::kOnceStoreUnavailable,
-               "no");
+  CheckRejected(CallOnce(deployment.At(1).Port(), "k", seconds(3)),
+                ResultCode::kOnceStoreUnavailable,
+                "no");
   deployment.Store().Control({ { "outage", false } });
   OnceAnswer again;
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     again = CallOnce(deployment.At(1).Port(), "k", seconds(5));
     return again.status_ == 200;
   }));
@@ -270,9 +275,10 @@
   LONGS_EQUAL(1, RunsOf(deployment.Service(0), "k"));
 }
 
-// Three hosts write the same buckets at the same time; every conditional
-// update but one fails each round. All calls end, each key with one run.
-TEST(OnceCallTest, EndsEveryCallWhenHostsWriteTheSameBuckets)
+// Three hosts write to the same buckets concurrently, so that all conditional
+// updates but one fail in each round. All calls must complete, with one run per
+// key.
+TEST(OnceCallTest, CompletesEveryCallWhenHostsWriteTheSameBuckets)
 {
   Deployment deployment({ .hosts_ = 3 });
   std::vector<std::future<OnceAnswer>> calls;
@@ -288,10 +294,10 @@
   CHECK_TRUE(deployment.Store().Stats().value("conflict", 0) > 0);
 }
 
-// The endpoint dies with the call in its hands. Another endpoint is there, but
-// the call may have run, so it is not sent on and the caller is told so; with
-// or without a key.
-TEST(OnceCallTest, DoesNotSendACallOnAfterItsEndpointDied)
+// Guards against a retry at a second endpoint when the first crashes while it
+// processes the call. The call may have run, so the caller must be told that
+// instead, with or without a key.
+TEST(OnceCallTest, DoesNotRetryACallAfterItsEndpointCrashed)
 {
   Deployment deployment({ .hosts_ = 1, .services_ = 2 });
   for (int service = 0; service < 2; ++service) {
@@ -299,7 +305,7 @@
   }
   auto call = CallInBackground(deployment.At(0).Port(), "k", seconds(10));
   int holder = -1;
-  CHECK_TRUE(WaitUntil(kPatience, [&] {
+  CHECK_TRUE(WaitUntil(kTimeout, [&] {
     holder = RunsOf(deployment.Service(0), "k") == 1   ? 0
              : RunsOf(deployment.Service(1), "k") == 1 ? 1
                                                        : -1;
@@ -310,19 +316,19 @@
   CHECK_TRUE(answer.answered_);
   STRCMP_EQUAL("unknown", answer.ran_.c_str());
   LONGS_EQUAL(0, deployment.Service(1 - holder).Stats().value("total", -1));
-  CheckRefused(CallOnce(deployment.At(0).Port(), "k", seconds(5)),
-               ResultCode::kOnceUnknown,
-               "unknown");
+  CheckRejected(CallOnce(deployment.At(0).Port(), "k", seconds(5)),
+                ResultCode::kOnceUnknown,
+                "unknown");
 }
 
-// A planned stop right after the answer: the outcome is still recorded, so that
-// the caller's second try is replayed and not "unknown".
+// Guards against losing the outcome in a graceful shutdown right after the
+// response: a retry must get the replayed response and not "unknown".
 TEST(OnceCallTest, RecordsOutcomesBeforeAPlannedStop)
 {
   Deployment deployment({ .hosts_ = 2 });
   deployment.Store().Control({ { "delay_ms", 100 } });
   CheckRanOnce(CallOnce(deployment.At(0).Port(), "k"));
   deployment.At(0).Handle().Signal(SIGTERM);
-  LONGS_EQUAL(0, deployment.At(0).Handle().WaitForExit(kPatience));
+  LONGS_EQUAL(0, deployment.At(0).Handle().WaitForExit(kTimeout));
   CHECK_TRUE(CallOnce(deployment.At(1).Port(), "k").replayed_);
 }
--- a/test/integration/gooseberrylift-peers-test.cc
+++ b/test/integration/gooseberrylift-peers-test.cc
@@ -1,4 +1,4 @@
-// Entry hosts that find one another and exchange digests, on real processes.
+// Tests peer discovery and the exchange of digests between entry hosts.
 
 #include "harness.h"
 
@@ -21,7 +21,7 @@
   return aHost.Status().value("peers", json::array()).size();
 }
 
-bool AllSee(Deployment& aDeployment, std::size_t aCount)
+bool WaitForPeers(Deployment& aDeployment, std::size_t aCount)
 {
   return WaitUntil(kLimit, [&] {
     for (std::size_t index = 0; index < aDeployment.Hosts(); ++index) {
@@ -33,7 +33,7 @@
   });
 }
 
-json WithKeys(const json& aKeys)
+json PeerKeySettings(const json& aKeys)
 {
   return { { "peer", { { "port", 0 }, { "keys", aKeys } } } };
 }
@@ -49,49 +49,55 @@
 
 TEST_GROUP(PeersTest){};
 
-// The store is down from the first second after the hosts met. They go on
-// hearing one another, miss one that is paused, and find it again.
+// The store fails within the first second after the hosts discovered each
+// other. They must keep exchanging digests, detect that one host is paused, and
+// detect its return.
 TEST(PeersTest, HearOneAnotherWhileTheStoreIsDownAndAfterAPause)
 {
   Deployment deployment({ .hosts_ = 4 });
-  CHECK_TRUE(AllSee(deployment, 3));
+  CHECK_TRUE(WaitForPeers(deployment, 3));
   deployment.Store().Control({ { "outage", true } });
   deployment.At(3).Handle().Signal(SIGSTOP);
   CHECK_TRUE(WaitUntil(kLimit, [&] { return PeersOf(deployment.At(0)) == 2; }));
   deployment.At(3).Handle().Signal(SIGCONT);
-  CHECK_TRUE(AllSee(deployment, 3));
+  CHECK_TRUE(WaitForPeers(deployment, 3));
 }
 
-// A host whose first key is new and that still accepts the old one stands in
-// the middle of a rotation; it must understand hosts on either side of it.
-TEST(PeersTest, UnderstandOneAnotherInTheMiddleOfAKeyRotation)
+// During a key rotation a host has the new key first and still accepts the old
+// one. It must be able to communicate with hosts that have only the old or only
+// the new key.
+TEST(PeersTest, ExchangeDigestsDuringAKeyRotation)
 {
-  Deployment deployment(
-    { .hosts_ = 2,
-      .host_ = WithKeys({ "old-key-0123456789", "new-key-0123456789" }) });
-  deployment.AddHost(WithKeys({ "new-key-0123456789", "old-key-0123456789" }));
-  CHECK_TRUE(AllSee(deployment, 2));
+  Deployment deployment({ .hosts_ = 2,
+                          .host_ = PeerKeySettings(
+                            { "old-key-0123456789", "new-key-0123456789" }) });
+  deployment.AddHost(
+    PeerKeySettings({ "new-key-0123456789", "old-key-0123456789" }));
+  CHECK_TRUE(WaitForPeers(deployment, 2));
 }
 
-// A process with another key reaches the store's list but must learn nothing
-// and be told nothing.
-TEST(PeersTest, RefuseAHostWithAnotherKey)
+// A host with a different key is registered in the store, but must neither
+// receive digests nor have its own accepted.
+TEST(PeersTest, RejectAHostWithAnotherKey)
 {
   Deployment deployment(
-    { .hosts_ = 2, .host_ = WithKeys({ "good-key-0123456789" }) });
-  Host& stranger = deployment.AddHost(WithKeys({ "evil-key-0123456789" }));
+    { .hosts_ = 2, .host_ = PeerKeySettings({ "good-key-0123456789" }) });
+  Host& unauthorized =
+    deployment.AddHost(PeerKeySettings({ "evil-key-0123456789" }));
   const auto refused = [](Host& aHost) {
     return aHost.Handle().Output().find("\"event\":1600") != std::string::npos;
   };
-  CHECK_TRUE(WaitUntil(
-    kLimit, [&] { return refused(stranger) || refused(deployment.At(0)); }));
+  CHECK_TRUE(WaitUntil(kLimit, [&] {
+    return refused(unauthorized) || refused(deployment.At(0));
+  }));
   CHECK_TRUE(WaitUntil(kLimit, [&] { return PeersOf(deployment.At(0)) == 1; }));
-  LONGS_EQUAL(0, PeersOf(stranger));
+  LONGS_EQUAL(0, PeersOf(unauthorized));
 }
 
-// A recorded exchange is sent again: its signature would be good (here there
-// is no key at all), but its number was used, so nothing of it is taken in.
-TEST(PeersTest, RefuseAMessageThatIsSentTwice)
+// Guards against replay attacks: a recorded message is sent again. Its
+// signature would be valid (this test uses no key), but its nonce was already
+// used, so it must be ignored.
+TEST(PeersTest, RejectReplayedMessages)
 {
   Deployment deployment({ .hosts_ = 1 });
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -114,21 +120,21 @@
   STRCMP_CONTAINS("refused", old.value().body_.c_str());
 }
 
-// The platform counts each call to the store. At rest, after all have joined,
-// nine hosts poll once a second each; beside that only watches and lists of
-// members are renewed, and nothing is written.
+// Bounds the load on the store, as the platform counts each call to it. When
+// idle, after all have joined, nine hosts poll once a second each; apart from
+// that they only renew watches and member lists, and write nothing.
 TEST(PeersTest, CallTheStoreLittleWhenNothingChanges)
 {
   constexpr int kHosts = 9;
   constexpr int kSeconds = 10;
   Deployment deployment({ .hosts_ = kHosts });
-  CHECK_TRUE(AllSee(deployment, kHosts - 1));
+  CHECK_TRUE(WaitForPeers(deployment, kHosts - 1));
   const json before = deployment.Store().Stats();
   CHECK_FALSE(WaitUntil(std::chrono::seconds(kSeconds), [] { return false; }));
   const json after = deployment.Store().Stats();
   for (const char* kind : { "read", "list", "watch", "write" }) {
     const double calls = after.value(kind, 0.0) - before.value(kind, 0.0);
-    std::printf("store calls a second and host at rest: %s %.2f\n",
+    std::printf("store calls per second and host when idle: %s %.2f\n",
                 kind,
                 calls / kHosts / kSeconds);
   }
--- a/test/integration/gooseberrylift-planned-stop-test.cc
+++ b/test/integration/gooseberrylift-planned-stop-test.cc
@@ -1,4 +1,5 @@
-// A planned stop and a leaving endpoint cut nothing, under load.
+// Tests that a graceful shutdown of a host and a draining endpoint interrupt no
+// requests under load.
 
 #include "harness.h"
 
@@ -26,9 +27,9 @@
 
 namespace {
 
-// What the platform's balancer does: it looks at /readyz again and again and
-// gives callers only hosts that were ready when it last looked.
-class Balancer
+// Simulates the platform's load balancer: polls /readyz and gives callers only
+// hosts that were ready at the last poll.
+class LoadBalancer
 {
 public:
   void SetHosts(std::vector<Host*> aHosts)
@@ -38,7 +39,7 @@
     ready_ = hosts_;
   }
 
-  void Look()
+  void PollReadiness()
   {
     std::vector<Host*> hosts;
     {
@@ -70,8 +71,8 @@
   std::vector<Host*> ready_;
 };
 
-// A caller that keeps its connections from one call to the next.
-class KeepingCaller
+// A caller that reuses its connections between calls.
+class PersistentCaller
 {
 public:
   Outcome<HttpResponse> Call(std::uint16_t aPort, HttpRequest aRequest)
@@ -95,12 +96,12 @@
   HttpClient client_{ asio_.get_executor(), HttpClient::Options{} };
 };
 
-// Streams, plain completions and service calls from several callers until the
-// object goes; every answer is checked byte for byte.
-class CheckedLoad
+// Generates load until destroyed: streams, non-streamed completions and service
+// calls from several callers. Compares every response byte for byte.
+class LoadGenerator
 {
 public:
-  CheckedLoad(Balancer& aBalancer, int aCallers)
+  LoadGenerator(LoadBalancer& aBalancer, int aCallers)
     : balancer_(aBalancer)
   {
     threads_.reserve(static_cast<std::size_t>(aCallers) + 1);
@@ -109,15 +110,15 @@
     }
     threads_.emplace_back([this] {
       while (!done_) {
-        balancer_.Look();
+        balancer_.PollReadiness();
         std::this_thread::sleep_for(milliseconds(50));
       }
     });
   }
 
-  ~CheckedLoad() { Stop(); }
-  CheckedLoad(const CheckedLoad&) = delete;
-  CheckedLoad& operator=(const CheckedLoad&) = delete;
+  ~LoadGenerator() { Stop(); }
+  LoadGenerator(const LoadGenerator&) = delete;
+  LoadGenerator& operator=(const LoadGenerator&) = delete;
 
   void Stop()
   {
@@ -128,20 +129,20 @@
     threads_.clear();
   }
 
-  int Whole() const { return whole_; }
+  int Succeeded() const { return succeeded_; }
   int Failed() const { return failed_; }
 
-  /// Waits until so many more answers came.
+  /// Waits for a number of further correct responses.
   bool WaitForMore(int aAnswers)
   {
-    const int goal = whole_ + aAnswers;
-    return WaitUntil(seconds(60), [&] { return whole_ >= goal; });
+    const int goal = succeeded_ + aAnswers;
+    return WaitUntil(seconds(60), [&] { return succeeded_ >= goal; });
   }
 
 private:
   void RunCaller(int aCaller)
   {
-    KeepingCaller keeping;
+    PersistentCaller persistent;
     for (int call = 0; !done_; ++call) {
       const std::string tag =
         "caller-" + std::to_string(aCaller) + "-" + std::to_string(call);
@@ -149,10 +150,10 @@
       const int kind = aCaller < kLongCallers ? kLongStream : call % 4;
       HttpRequest request = RequestOf(tag, kind);
       const auto answer = aCaller % 2 == 0
-                            ? keeping.Call(port, std::move(request))
+                            ? persistent.Call(port, std::move(request))
                             : Send(port, std::move(request));
-      if (IsOwnAnswer(tag, kind, answer)) {
-        ++whole_;
+      if (IsExpectedResponse(tag, kind, answer)) {
+        ++succeeded_;
       } else {
         ++failed_;
         std::printf("failed: %s kind %d: %s\n",
@@ -165,7 +166,7 @@
   }
 
   // Half of the callers send streams that last about two seconds, longer than
-  // a stopping host's lag, so that some always run when the lag is over.
+  // the drain lag, so that some streams always run when the lag ends.
   static constexpr int kLongCallers = 4;
   static constexpr int kLongStream = 4;
 
@@ -180,9 +181,9 @@
     return ChatRequest(aTag, TokensOf(aKind), IsStream(aKind));
   }
 
-  static bool IsOwnAnswer(const std::string& aTag,
-                          int aKind,
-                          const Outcome<HttpResponse>& aAnswer)
+  static bool IsExpectedResponse(const std::string& aTag,
+                                 int aKind,
+                                 const Outcome<HttpResponse>& aAnswer)
   {
     if (!aAnswer || aAnswer.value().status_ != 200) {
       return false;
@@ -199,9 +200,9 @@
                       : body.value("path", "") == "/" + aTag;
   }
 
-  Balancer& balancer_;
+  LoadBalancer& balancer_;
   std::atomic<bool> done_ = false;
-  std::atomic<int> whole_ = 0;
+  std::atomic<int> succeeded_ = 0;
   std::atomic<int> failed_ = 0;
   std::vector<std::thread> threads_;
 };
@@ -223,7 +224,7 @@
 TEST_GROUP(PlannedStopTest)
 {
   Deployment deployment_{ ThreeHosts() };
-  Balancer balancer_;
+  LoadBalancer balancer_;
 
   void UseHosts(std::initializer_list<std::size_t> aIndices)
   {
@@ -234,8 +235,8 @@
     balancer_.SetHosts(std::move(hosts));
   }
 
-  // Stops a host and expects a proper end within lag and limit.
-  void StopsCleanly(std::size_t aIndex)
+  // Stops a host and checks that it exits cleanly within drain lag and limit.
+  void CheckCleanStop(std::size_t aIndex)
   {
     Process& process = deployment_.At(aIndex).Handle();
     process.Signal(SIGTERM);
@@ -244,30 +245,31 @@
   }
 };
 
-// One of three hosts is told to stop while streams and plain calls run on all.
-// It goes unready first, takes what the balancer still sends, finishes what
-// runs and exits; callers must notice nothing.
+// One of three hosts is stopped while all of them process streams and plain
+// calls. It must become unready first, accept what the balancer still sends,
+// complete the running requests and exit, without a failed request.
 TEST(PlannedStopTest, StopsOneHostUnderLoadWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
-  StopsCleanly(0);
+  CheckCleanStop(0);
   UseHosts({ 1, 2 });
   CHECK_TRUE(load.WaitForMore(50));
   load.Stop();
-  std::printf("one stop: %d whole, %d failed\n", load.Whole(), load.Failed());
+  std::printf(
+    "one stop: %d succeeded, %d failed\n", load.Succeeded(), load.Failed());
   LONGS_EQUAL(0, load.Failed());
 }
 
-// A rolling restart: each host in turn is stopped and replaced.
+// A rolling restart: the hosts are stopped and replaced one at a time.
 TEST(PlannedStopTest, ReplacesAllHostsInTurnWithoutCuttingARequest)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(50));
   for (std::size_t index = 0; index < 3; ++index) {
-    StopsCleanly(index);
+    CheckCleanStop(index);
     CHECK_TRUE(deployment_.AddHost().WaitReady(seconds(20)));
     std::vector<Host*> hosts;
     for (std::size_t other = index + 1; other < deployment_.Hosts(); ++other) {
@@ -277,13 +279,15 @@
     CHECK_TRUE(load.WaitForMore(50));
   }
   load.Stop();
-  std::printf(
-    "all in turn: %d whole, %d failed\n", load.Whole(), load.Failed());
+  std::printf("rolling restart: %d succeeded, %d failed\n",
+              load.Succeeded(),
+              load.Failed());
   LONGS_EQUAL(0, load.Failed());
 }
 
-// A caller is still sending its body when the host is told to stop. No handler
-// runs yet, so a host that counts handlers only would exit and cut the call.
+// Guards against interrupting a request whose body is incomplete when the host
+// is stopped. No handler runs yet, so a host that counts only handlers would
+// exit too early.
 TEST(PlannedStopTest, FinishesARequestWhoseBodyIsStillComing)
 {
   const std::string body =
@@ -294,7 +298,7 @@
   wire.Write(request.substr(0, request.size() - 20));
   host.Handle().Signal(SIGTERM);
   CHECK_FALSE(host.Handle().WaitForLine("\"event\":1001", seconds(10)).empty());
-  // Longer than the lag, after which nothing but this request is left.
+  // Longer than the drain lag, after which only this request is in flight.
   CHECK_EQUAL(-1, host.Handle().WaitForExit(milliseconds(1500)));
   wire.Write(request.substr(request.size() - 20));
   CHECK_TRUE(wire.ReadToEnd());
@@ -302,17 +306,18 @@
   LONGS_EQUAL(0, host.Handle().WaitForExit(seconds(25)));
 }
 
-// The platform's list shows an engine as leaving while it still answers. It may
-// finish what it has, but three seconds later nothing new may begin there.
+// The platform's host list marks an engine as draining while it still responds.
+// It may complete its requests, but after three seconds it must get no new
+// ones.
 TEST(PlannedStopTest, GivesALeavingEndpointNoNewWorkThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   json list = deployment_.HostList();
   list[0]["state"] = "leaving";
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the bound that is promised
+  std::this_thread::sleep_for(seconds(3)); // the promised upper bound
   const int started = deployment_.Engine(0).Stats().value("started", -1);
   CHECK_TRUE(started > 0);
   CHECK_TRUE(load.WaitForMore(200));
@@ -321,54 +326,58 @@
   LONGS_EQUAL(0, load.Failed());
 }
 
-// The engine itself says that it leaves, in its load report and in refusing new
-// work; the list still shows it live. Each host may run into a few refusals
-// that were under way at that moment, and none later.
-TEST(PlannedStopTest, BelievesALeavingEndpointsOwnWordAtOnce)
+// The engine reports that it drains in its load report and by rejecting new
+// requests, while the host list still shows it as live. Each host may get a few
+// rejections for requests in flight at that moment, and none later.
+TEST(PlannedStopTest, StopsNewWorkAtOnceWhenAnEngineReportsThatItIsLeaving)
 {
   constexpr int kUnderWay = kCallers;
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   deployment_.Engine(0).Control({ { "leaving", true } });
   CHECK_TRUE(load.WaitForMore(200));
   load.Stop();
   const int refused = deployment_.Engine(0).Stats().value("refused", -1);
-  std::printf("own word: %d refusals, %d whole, %d failed\n",
-              refused,
-              load.Whole(),
-              load.Failed());
+  std::printf(
+    "leaving reported by an engine: %d rejections, %d succeeded, %d failed\n",
+    refused,
+    load.Succeeded(),
+    load.Failed());
   CHECK_TRUE(refused >= 0);
   CHECK_TRUE(refused <= kUnderWay);
   LONGS_EQUAL(0, load.Failed());
 }
 
-// The same for a plain service: first its own word, while the list still shows
-// it live. Calls that meet its refusal go to the other endpoint, as none ran.
-TEST(PlannedStopTest, BelievesALeavingServicesOwnWordWithoutFailingACall)
+// The same for a plain service that reports that it drains while the host list
+// still shows it as live. Rejected calls have not run and must be retried at
+// the other endpoint.
+TEST(PlannedStopTest, RetriesElsewhereWhenAServiceReportsThatItIsLeaving)
 {
   constexpr int kUnderWay = kCallers;
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   deployment_.Service(0).Control({ { "leaving", true } });
   CHECK_TRUE(load.WaitForMore(200));
   load.Stop();
   const json stats = deployment_.Service(0).Stats();
   const int refused = stats.value("refused", -1);
-  std::printf(
-    "own word of a service: %d refusals, %d failed\n", refused, load.Failed());
+  std::printf("leaving reported by a service: %d rejections, %d failed\n",
+              refused,
+              load.Failed());
   CHECK_TRUE(stats.value("total", 0) > 0);
   CHECK_TRUE(refused >= 0);
   CHECK_TRUE(refused <= kUnderWay);
   LONGS_EQUAL(0, load.Failed());
 }
 
-// And by the list alone: three seconds later no call begins there.
+// The same with the host list as the only source: after three seconds the
+// service must get no new calls.
 TEST(PlannedStopTest, GivesALeavingServiceNoNewCallThreeSecondsAfterTheList)
 {
   UseHosts({ 0, 1, 2 });
-  CheckedLoad load(balancer_, kCallers);
+  LoadGenerator load(balancer_, kCallers);
   CHECK_TRUE(load.WaitForMore(100));
   json list = deployment_.HostList();
   for (json& host : list) {
@@ -377,7 +386,7 @@
     }
   }
   deployment_.List().Control({ { "hosts", list } });
-  std::this_thread::sleep_for(seconds(3)); // the bound that is promised
+  std::this_thread::sleep_for(seconds(3)); // the promised upper bound
   const int total = deployment_.Service(0).Stats().value("total", -1);
   CHECK_TRUE(total > 0);
   CHECK_TRUE(load.WaitForMore(200));
