--- a/test/integration/gooseberrylift-bad-input-test.cc
+++ b/test/integration/gooseberrylift-bad-input-test.cc
@@ -3,7 +3,7 @@
 
 #include "harness.h"
 
-#include "harness-wire.h"
+#include "harness-raw-connection.h"
 
 #include "../../fakes/gooseberrylift-fake-tokens.h"
 
@@ -38,7 +38,7 @@
   // Sends raw bytes and expects a refusal with this status and result code.
   void ExpectRefusal(const std::string& aBytes, int aStatus, ResultCode aCode)
   {
-    Wire wire(deployment_.At(0).Port());
+    RawConnection wire(deployment_.At(0).Port());
     wire.Write(aBytes);
     CHECK_TRUE(wire.ReadUntil("\"code\":"));
     LONGS_EQUAL(aStatus, wire.Status());
@@ -47,7 +47,7 @@
 
   void ExpectBodyRefusal(const std::string& aBody, ResultCode aCode)
   {
-    ExpectRefusal(RawChat(aBody), 400, aCode);
+    ExpectRefusal(RawChatRequest(aBody), 400, aCode);
   }
 
   void ExpectServed()
@@ -95,15 +95,17 @@
     R"({"model":"m","messages":[{"content":"a"}],"max_tokens":-1})", kBadField);
   ExpectBodyRefusal(
     R"({"model":"m","messages":[{"content":"a"}],"stream":"yes"})", kBadField);
-  ExpectRefusal(RawChat(kValidBody, "X-Deadline-Ms: soon\r\n"), 400, kBadField);
+  ExpectRefusal(
+    RawChatRequest(kValidBody, "X-Deadline-Ms: soon\r\n"), 400, kBadField);
   ExpectServed();
 }
 
 TEST(BadInputTest, RefusesUnknownNamesAndKeys)
 {
-  ExpectRefusal(RawChat(R"({"model":"none","messages":[{"content":"a"}]})"),
-                404,
-                kUnknownModel);
+  ExpectRefusal(
+    RawChatRequest(R"({"model":"none","messages":[{"content":"a"}]})"),
+    404,
+    kUnknownModel);
   const std::string key = "Authorization: Bearer team-one-key\r\n\r\n";
   ExpectRefusal(
     "GET /services/none/x HTTP/1.1\r\n" + key, 404, kUnknownService);
@@ -161,9 +163,9 @@
 
 TEST(BadInputTest, SaysSoWhenABodyEndsTooSoon)
 {
-  Wire wire(deployment_.At(0).Port());
+  RawConnection wire(deployment_.At(0).Port());
   wire.Write("POST /v1/completions HTTP/1.1\r\nContent-Length: 50\r\n\r\nhalf");
-  wire.HalfClose();
+  wire.ShutdownSend();
   CHECK_TRUE(wire.ReadToEnd());
   LONGS_EQUAL(static_cast<int>(kMalformedHttp), wire.Code());
 }
@@ -174,12 +176,12 @@
 TEST(BadInputTest, TellsAHalfClosedCallerThatItCountsAsGone)
 {
   deployment_.Engine(0).Control({ { "slowdown", 400.0 } });
-  Wire wire(deployment_.At(0).Port());
-  wire.Write(RawChat(kValidBody));
+  RawConnection wire(deployment_.At(0).Port());
+  wire.Write(RawChatRequest(kValidBody));
   CHECK_TRUE(WaitUntil(std::chrono::seconds(10), [this] {
     return deployment_.Engine(0).Stats().value("running", 0) == 1;
   }));
-  wire.HalfClose();
+  wire.ShutdownSend();
   CHECK_TRUE(wire.ReadToEnd());
   LONGS_EQUAL(static_cast<int>(kCallerLeft), wire.Code());
   CHECK_TRUE(WaitUntil(std::chrono::seconds(10), [this] {
@@ -193,8 +195,8 @@
     return "GET /services/board/" + aPath +
            " HTTP/1.1\r\nAuthorization: Bearer team-one-key\r\n\r\n";
   };
-  Wire wire(deployment_.At(0).Port());
-  wire.Write(call("first") + call("second") + RawChat("no json") +
+  RawConnection wire(deployment_.At(0).Port());
+  wire.Write(call("first") + call("second") + RawChatRequest("no json") +
              call("third"));
   CHECK_TRUE(wire.ReadUntil("/third"));
   const std::string& text = wire.Received();
@@ -212,7 +214,7 @@
   for (const char letter : body) {
     request += std::string("1\r\n") + letter + "\r\n";
   }
-  Wire wire(deployment_.At(0).Port());
+  RawConnection wire(deployment_.At(0).Port());
   wire.Write(request + "0\r\n\r\n");
   CHECK_TRUE(wire.ReadUntil(fakes::ReferenceAnswer("hi", 4)));
   LONGS_EQUAL(200, wire.Status());
@@ -232,8 +234,8 @@
     R"("messages":[{"role":"user","content":"hi"}],"model":"m"}  )";
   for (const std::string& body :
        { own, twice, std::string(kValidBody) + " " }) {
-    Wire wire(deployment_.At(0).Port());
-    wire.Write(RawChat(body));
+    RawConnection wire(deployment_.At(0).Port());
+    wire.Write(RawChatRequest(body));
     CHECK_TRUE(wire.ReadUntil("\"" + fakes::ReferenceAnswer("hi", 4) + "\""));
     LONGS_EQUAL(200, wire.Status());
   }
--- a/test/integration/gooseberrylift-caller-leaves-test.cc
+++ b/test/integration/gooseberrylift-caller-leaves-test.cc
@@ -3,7 +3,7 @@
 
 #include "harness.h"
 
-#include "harness-wire.h"
+#include "harness-raw-connection.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -21,7 +21,7 @@
                       { "messages", json::array({ message }) } };
   // The deadline is far beyond the test's own limits, so that only the
   // disconnect frees the engine.
-  return RawChat(body.dump(), "X-Deadline-Ms: 86400000\r\n");
+  return RawChatRequest(body.dump(), "X-Deadline-Ms: 86400000\r\n");
 }
 
 bool EngineIsFree(Deployment& aDeployment)
@@ -42,7 +42,7 @@
 TEST(CallerLeavesTest, CancelsAtTheEngineInMidStream)
 {
   Deployment deployment({ .engines_ = 1 });
-  Wire wire(deployment.At(0).Port());
+  RawConnection wire(deployment.At(0).Port());
   wire.Write(LongChat(100'000, true));
   CHECK_TRUE(wire.ReadUntil("\"token_index\":20"));
   wire.Close();
@@ -58,7 +58,7 @@
 TEST(CallerLeavesTest, CancelsAtTheEngineBeforeAPlainAnswer)
 {
   Deployment deployment({ .engines_ = 1 });
-  Wire wire(deployment.At(0).Port());
+  RawConnection wire(deployment.At(0).Port());
   wire.Write(LongChat(100'000, false));
   CHECK_TRUE(WaitUntil(std::chrono::seconds(10), [&] {
     return deployment.Engine(0).Stats().value("running", 0) == 1;
@@ -83,9 +83,9 @@
         { "caller", { { "port", 0 }, { "write_timeout_ms", 2500 } } } } });
   Host& host = deployment.At(0);
   const std::uint64_t initial = ResidentBytes(host.Handle().Pid());
-  std::vector<std::unique_ptr<Wire>> readers;
+  std::vector<std::unique_ptr<RawConnection>> readers;
   for (int reader = 0; reader < kReaders; ++reader) {
-    readers.push_back(std::make_unique<Wire>(host.Port()));
+    readers.push_back(std::make_unique<RawConnection>(host.Port()));
     readers.back()->Write(LongChat(200'000, true));
   }
   std::uint64_t peak = initial;
--- a/test/integration/gooseberrylift-endpoint-limit-test.cc
+++ b/test/integration/gooseberrylift-endpoint-limit-test.cc
@@ -239,9 +239,11 @@
 {
   GatewayDeployment deployment({ .hosts_ = 1, .boards_ = 1 });
   deployment.Board(0).Control({ { "limit", "0" } });
-  LONGS_EQUAL(200, deployment.Ask(MakeSafeRequest("at-0")).value().status_);
+  LONGS_EQUAL(
+    200, deployment.SendToFirstHost(MakeSafeRequest("at-0")).value().status_);
   const std::int64_t asked = NowMs();
-  const HttpResponse refused = deployment.Ask(MakeSafeRequest("at-1")).value();
+  const HttpResponse refused =
+    deployment.SendToFirstHost(MakeSafeRequest("at-1")).value();
   LONGS_EQUAL(503, refused.status_);
   CHECK_TRUE(NowMs() - asked < 500);
   CHECK_TRUE(std::stod(std::string(refused.Field("Retry-After"))) > 0);
--- a/test/integration/gooseberrylift-gateway-peers-test.cc
+++ b/test/integration/gooseberrylift-gateway-peers-test.cc
@@ -57,7 +57,7 @@
   std::this_thread::sleep_for(2s);
   const auto refused = ask(1, "at-2");
   LONGS_EQUAL(503, refused.value().status_);
-  LONGS_EQUAL(69, CodeOf(refused.value()));
+  LONGS_EQUAL(69, ErrorResponseCode(refused.value()));
   // It reached no endpoint: the only remaining one has not received it.
   int remainingBoards = 0;
   for (std::size_t board : { 0, 1, 2 }) {
@@ -81,7 +81,8 @@
     deployment.Board(board).Control({ { "fault", "drop" }, { "times", 2 } });
   }
   const auto ask = [&](const std::string& aAttempt) {
-    return deployment.Ask(RouteRequest("GET", "/safe/good", aAttempt))
+    return deployment
+      .SendToFirstHost(RouteRequest("GET", "/safe/good", aAttempt))
       .value()
       .status_;
   };
--- a/test/integration/gooseberrylift-gateway-store-test.cc
+++ b/test/integration/gooseberrylift-gateway-store-test.cc
@@ -73,13 +73,15 @@
   deployment.At(0).Handle().WaitForLine("\"state\":\"leaving\"", 5s);
   for (int round = 0; round < 6; ++round) {
     const std::string attempt = "at-" + std::to_string(round);
-    const auto answer = deployment.Ask(RouteRequest("GET", "/safe/a", attempt));
+    const auto answer =
+      deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", attempt));
     CHECK_TRUE(answer.value().body_.ends_with("by board-1"));
   }
   deployment.Engine(0).Control({ { "id", "newcomer" } });
   for (int round = 0; round < 6; ++round) {
     const std::string attempt = "st-" + std::to_string(round);
-    LONGS_EQUAL(200, deployment.Ask(StreamRequest(attempt)).value().status_);
+    LONGS_EQUAL(
+      200, deployment.SendToFirstHost(StreamRequest(attempt)).value().status_);
   }
 }
 
@@ -90,7 +92,9 @@
 {
   GatewayDeployment deployment({ .gateway_ = { { "revoke_ms", 2500 } } });
   const auto status = [&](const std::string& aPath) {
-    return deployment.Ask(RouteRequest("GET", aPath, "at")).value().status_;
+    return deployment.SendToFirstHost(RouteRequest("GET", aPath, "at"))
+      .value()
+      .status_;
   };
   deployment.Store().Control({ { "outage", true } });
   CHECK_TRUE(WaitUntil(6s, [&] { return status("/safe/a") == 503; }));
@@ -111,7 +115,7 @@
   deployment.PutDocument(document);
   deployment.Store().Control({ { "forget_history", true } });
   CHECK_TRUE(WaitUntil(5s, [&] {
-    return deployment.Ask(RouteRequest("GET", "/safe/a", "at"))
+    return deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at"))
              .value()
              .status_ == 401;
   }));
@@ -132,8 +136,10 @@
   deployment.PutDocument(document);
   CHECK_FALSE(
     deployment.At(0).Handle().WaitForLine("\"event\":1104", 5s).empty());
-  LONGS_EQUAL(
-    200, deployment.Ask(RouteRequest("GET", "/safe/a", "at")).value().status_);
+  LONGS_EQUAL(200,
+              deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at"))
+                .value()
+                .status_);
 }
 
 // A host that starts while the store is unreachable reports that it is not
@@ -169,7 +175,7 @@
   // The address answers as board-0, so each of the seven entries is recognized
   // as wrong.
   CHECK_TRUE(WaitUntil(5s, [&] {
-    return deployment.Ask(RouteRequest("GET", "/safe/a", "at"))
+    return deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at"))
              .value()
              .status_ == 503;
   }));
@@ -209,7 +215,7 @@
   GatewayDeployment deployment({ .boards_ = 1 });
   const auto checkServes = [&] {
     for (int call = 0; call < 10; ++call) {
-      const auto answer = deployment.Ask(
+      const auto answer = deployment.SendToFirstHost(
         RouteRequest("GET", "/safe/a", "at-" + std::to_string(call)));
       LONGS_EQUAL(200, answer.value().status_);
     }
@@ -252,7 +258,9 @@
     deployment.Store().Control({ { "put", { { "servers/board-0", entry } } } });
   };
   const auto ask = [&] {
-    return deployment.Ask(RouteRequest("GET", "/safe/a", "at")).value().status_;
+    return deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at"))
+      .value()
+      .status_;
   };
   list(1000, "draining");
   CHECK_TRUE(WaitUntil(5s, [&] { return ask() == 503; }));
--- a/test/integration/gooseberrylift-gateway-test.cc
+++ b/test/integration/gooseberrylift-gateway-test.cc
@@ -41,15 +41,16 @@
 TEST(GatewayTest, ServesEveryKindOfRouteUnchanged)
 {
   GatewayDeployment deployment({});
-  const auto safe = deployment.Ask(RouteRequest("GET", "/safe/a?b=c", "at-1"));
+  const auto safe =
+    deployment.SendToFirstHost(RouteRequest("GET", "/safe/a?b=c", "at-1"));
   LONGS_EQUAL(200, safe.value().status_);
   CHECK_TRUE(safe.value().body_.starts_with("GET /safe/a?b=c"));
   CHECK_TRUE(safe.value().Field(names::kResponseStamp).starts_with("stamp-"));
   HttpRequest post = RouteRequest("POST", "/unsafe/x", "at-2");
   post.body_ = "once";
-  CHECK_TRUE(deployment.Ask(post).value().body_.find("once") !=
+  CHECK_TRUE(deployment.SendToFirstHost(post).value().body_.find("once") !=
              std::string::npos);
-  const auto stream = deployment.Ask(StreamRequest("at-3"));
+  const auto stream = deployment.SendToFirstHost(StreamRequest("at-3"));
   STRCMP_EQUAL(EventsText(1, 5).c_str(), stream.value().body_.c_str());
   STRCMP_EQUAL("at-3", TextOf(stream.value().Field(names::kAttemptId)).c_str());
 }
@@ -60,7 +61,7 @@
   HttpRequest request = RouteRequest("GET", "/safe/a", "at-1");
   request.fields_.push_back({ names::kTenant, "someone-else" });
   request.fields_.push_back({ names::kHelpers, "10.0.0.1:1/stolen" });
-  LONGS_EQUAL(200, deployment.Ask(request).value().status_);
+  LONGS_EQUAL(200, deployment.SendToFirstHost(request).value().status_);
   const json fields = deployment.Board(0).Stats().at("fields");
   CHECK_FALSE(fields.contains(names::kAuthorization));
   CHECK_FALSE(fields.contains(names::kHelpers));
@@ -79,7 +80,8 @@
   }
   deployment.PutDocument(document);
   deployment.At(0).Handle().WaitForLine("\"generation\":2", 5s);
-  LONGS_EQUAL(200, deployment.Ask(StreamRequest("at-1")).value().status_);
+  LONGS_EQUAL(
+    200, deployment.SendToFirstHost(StreamRequest("at-1")).value().status_);
   const json fields = deployment.Engine(0).Stats().at("fields");
   STRCMP_EQUAL("3", fields.value(names::kPriorityClass, "").c_str());
 }
@@ -88,7 +90,7 @@
 {
   GatewayDeployment deployment({});
   const auto status = [&](const std::string& aPath, const std::string& aKey) {
-    return deployment.Ask(RouteRequest("GET", aPath, "at", aKey))
+    return deployment.SendToFirstHost(RouteRequest("GET", aPath, "at", aKey))
       .value()
       .status_;
   };
@@ -111,7 +113,7 @@
   }
   for (int round = 0; round < 4; ++round) {
     const std::string attempt = "at-" + std::to_string(round);
-    const auto stream = deployment.Ask(StreamRequest(attempt));
+    const auto stream = deployment.SendToFirstHost(StreamRequest(attempt));
     LONGS_EQUAL(200, stream.value().status_);
     STRCMP_EQUAL(EventsText(1, 5).c_str(), stream.value().body_.c_str());
   }
@@ -125,7 +127,7 @@
   GatewayDeployment deployment({});
   deployment.Engine(0).Control({ { "fault", "hang" }, { "times", 9 } });
   for (const std::string attempt : { "at-1", "at-2" }) {
-    const auto stream = deployment.Ask(StreamRequest(attempt));
+    const auto stream = deployment.SendToFirstHost(StreamRequest(attempt));
     LONGS_EQUAL(200, stream.value().status_);
     STRCMP_EQUAL(EventsText(1, 5).c_str(), stream.value().body_.c_str());
   }
@@ -141,7 +143,7 @@
   for (std::size_t engine : { 0, 1 }) {
     deployment.Engine(engine).Control({ { "fault", "gap" }, { "times", 9 } });
   }
-  const auto stream = deployment.Ask(StreamRequest("at-1"));
+  const auto stream = deployment.SendToFirstHost(StreamRequest("at-1"));
   CHECK_FALSE(stream.has_value());
 }
 
@@ -154,7 +156,8 @@
   for (std::size_t board : { 0, 1 }) {
     deployment.Board(board).Control({ { "fault", "drop" }, { "times", 9 } });
   }
-  const auto answer = deployment.Ask(RouteRequest("POST", "/unsafe/x", "at-1"));
+  const auto answer =
+    deployment.SendToFirstHost(RouteRequest("POST", "/unsafe/x", "at-1"));
   LONGS_EQUAL(502, answer.value().status_);
   LONGS_EQUAL(1, deployment.Count("ran", "at-1"));
   LONGS_EQUAL(1, deployment.Count("arrived", "at-1"));
@@ -166,7 +169,8 @@
   for (std::size_t board : { 0, 1 }) {
     deployment.Board(board).Control({ { "fault", "full" }, { "times", 9 } });
   }
-  const auto answer = deployment.Ask(RouteRequest("POST", "/unsafe/x", "at-1"));
+  const auto answer =
+    deployment.SendToFirstHost(RouteRequest("POST", "/unsafe/x", "at-1"));
   LONGS_EQUAL(503, answer.value().status_);
   const double wait =
     std::stod(TextOf(answer.value().Field(names::kRetryAfter)));
@@ -195,13 +199,14 @@
   for (int call = 0; call < 4; ++call) {
     const std::string attempt = "at-" + std::to_string(call);
     const auto answer =
-      deployment.Ask(RouteRequest("POST", "/unsafe/x", attempt));
+      deployment.SendToFirstHost(RouteRequest("POST", "/unsafe/x", attempt));
     LONGS_EQUAL(200, answer.value().status_);
     LONGS_EQUAL(1, deployment.Count("ran", attempt));
   }
   deployment.Board(0).Handle().Signal(SIGKILL);
   std::this_thread::sleep_for(700ms);
-  const auto refused = deployment.Ask(RouteRequest("GET", "/safe/a", "at-9"));
+  const auto refused =
+    deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at-9"));
   CHECK_TRUE(refused.value().status_ >= 500);
   CHECK_FALSE(refused.value().Field(names::kRetryAfter).empty());
 }
@@ -214,11 +219,13 @@
   deployment.Board(0).Control({ { "fault", "crossed" }, { "times", 50 } });
   for (int round = 0; round < 6; ++round) {
     const std::string attempt = "safe-" + std::to_string(round);
-    const auto safe = deployment.Ask(RouteRequest("GET", "/safe/a", attempt));
+    const auto safe =
+      deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", attempt));
     LONGS_EQUAL(200, safe.value().status_);
     CHECK_TRUE(safe.value().body_.ends_with("by board-1"));
     const std::string once = "once-" + std::to_string(round);
-    const auto unsafe = deployment.Ask(RouteRequest("POST", "/unsafe/a", once));
+    const auto unsafe =
+      deployment.SendToFirstHost(RouteRequest("POST", "/unsafe/a", once));
     CHECK_TRUE(unsafe.value().status_ == 502 ||
                unsafe.value().body_.ends_with("by board-1"));
     LONGS_EQUAL(1, deployment.Count("ran", once));
@@ -232,10 +239,11 @@
     deployment.Board(0).Control({ { "fault", fault }, { "times", 50 } });
     for (int round = 0; round < 4; ++round) {
       const std::string attempt = fault + std::to_string(round);
-      LONGS_EQUAL(200,
-                  deployment.Ask(RouteRequest("GET", "/safe/a", attempt))
-                    .value()
-                    .status_);
+      LONGS_EQUAL(
+        200,
+        deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", attempt))
+          .value()
+          .status_);
     }
   }
 }
@@ -245,17 +253,17 @@
   GatewayDeployment deployment({});
   HttpRequest request = RouteRequest("POST", "/unsafe/x", "at-1");
   request.body_ = std::string(4'000, 'b');
-  LONGS_EQUAL(200, deployment.Ask(request).value().status_);
+  LONGS_EQUAL(200, deployment.SendToFirstHost(request).value().status_);
   json document = deployment.Document();
   document["version"] = 2;
   document["limits"] = { { "maxBodyBytes", 1'000 },
                          { "maxHeaderBytes", 2'000 } };
   deployment.PutDocument(document);
   deployment.At(0).Handle().WaitForLine("\"generation\":2", 5s);
-  LONGS_EQUAL(413, deployment.Ask(request).value().status_);
+  LONGS_EQUAL(413, deployment.SendToFirstHost(request).value().status_);
   HttpRequest wide = RouteRequest("GET", "/safe/a", "at-2");
   wide.fields_.push_back({ "X-Wide", std::string(4'000, 'h') });
-  LONGS_EQUAL(431, deployment.Ask(wide).value().status_);
+  LONGS_EQUAL(431, deployment.SendToFirstHost(wide).value().status_);
 }
 
 // A prompt that exceeds the memory of one engine is processed by two, with
@@ -263,7 +271,8 @@
 TEST(GatewayTest, SetsMemoryAsideForAPromptBeyondOneEngineAndFreesIt)
 {
   GatewayDeployment deployment({ .engines_ = 3 });
-  const auto stream = deployment.Ask(StreamRequest("at-1", 600'000));
+  const auto stream =
+    deployment.SendToFirstHost(StreamRequest("at-1", 600'000));
   STRCMP_EQUAL(EventsText(1, 5).c_str(), stream.value().body_.c_str());
   int reserved = 0;
   std::string helpers;
@@ -294,7 +303,7 @@
     deployment.Engine(engine).Control({ { "fault", "helper" } });
   }
   HttpRequest request = StreamRequest("at-1", 400'000);
-  (void)deployment.Ask(request);
+  (void)deployment.SendToFirstHost(request);
   // Each engine that got the request, with its helpers, by time. The helper
   // that the first engine reported must have no part in the second attempt.
   std::map<std::int64_t, std::vector<std::string>> attempts;
@@ -322,11 +331,13 @@
   GatewayDeployment deployment(
     { .engines_ = 3, .engine_ = { { "event_ms", 60 } } });
   std::optional<Outcome<HttpResponse>> first;
-  std::thread caller(
-    [&] { first = deployment.Ask(StreamRequest("at-1", 900'000)); });
+  std::thread caller([&] {
+    first = deployment.SendToFirstHost(StreamRequest("at-1", 900'000));
+  });
   CHECK_TRUE(
     WaitUntil(5s, [&] { return deployment.Count("ran", "at-1") == 1; }));
-  const auto second = deployment.Ask(StreamRequest("at-2", 900'000));
+  const auto second =
+    deployment.SendToFirstHost(StreamRequest("at-2", 900'000));
   caller.join();
   LONGS_EQUAL(200, first->value().status_);
   LONGS_EQUAL(200, second.value().status_);
@@ -338,7 +349,8 @@
 {
   GatewayDeployment deployment({ .engine_ = { { "event_ms", 200 } } });
   std::optional<Outcome<HttpResponse>> answer;
-  std::thread caller([&] { answer = deployment.Ask(StreamRequest("at-1")); });
+  std::thread caller(
+    [&] { answer = deployment.SendToFirstHost(StreamRequest("at-1")); });
   CHECK_TRUE(
     WaitUntil(5s, [&] { return deployment.Count("ran", "at-1") == 1; }));
   deployment.At(0).Handle().Signal(SIGTERM);
@@ -360,6 +372,8 @@
   host.Signal(SIGHUP);
   CHECK_FALSE(host.WaitForLine("\"event\":1003", 5s).empty());
   std::remove(path.c_str());
-  LONGS_EQUAL(
-    200, deployment.Ask(RouteRequest("GET", "/safe/a", "at")).value().status_);
+  LONGS_EQUAL(200,
+              deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "at"))
+                .value()
+                .status_);
 }
--- a/test/integration/gooseberrylift-job-test.cc
+++ b/test/integration/gooseberrylift-job-test.cc
@@ -107,17 +107,18 @@
   const std::string id = AddJob(deployment.At(0).Port(), "a season review");
   CHECK_FALSE(id.empty());
   CheckDone(WaitForEnd(deployment.At(1).Port(), id), "a season review");
-  LONGS_EQUAL(static_cast<int>(ResultCode::kJobUnknown),
-              CodeOf(Send(deployment.At(0).Port(),
-                          MakeJobAccessRequest("GET", id, "team-two-key"))
-                       .value()));
+  LONGS_EQUAL(
+    static_cast<int>(ResultCode::kJobUnknown),
+    ErrorResponseCode(Send(deployment.At(0).Port(),
+                           MakeJobAccessRequest("GET", id, "team-two-key"))
+                        .value()));
   LONGS_EQUAL(200,
               Send(deployment.At(0).Port(), MakeJobAccessRequest("DELETE", id))
                 .value()
                 .status_);
   LONGS_EQUAL(
     static_cast<int>(ResultCode::kJobUnknown),
-    CodeOf(
+    ErrorResponseCode(
       Send(deployment.At(1).Port(), MakeJobAccessRequest("GET", id)).value()));
 }
 
@@ -134,7 +135,7 @@
   const auto other =
     Send(deployment.At(0).Port(), MakeJobRequest("other", "key"));
   LONGS_EQUAL(static_cast<int>(ResultCode::kOnceKeyReused),
-              CodeOf(other.value()));
+              ErrorResponseCode(other.value()));
 }
 
 TEST(JobCallTest, DoesNotAcknowledgeAJobThatItCouldNotStore)
@@ -143,7 +144,7 @@
   deployment.Store().Control({ { "outage", true } });
   const auto refused = Send(deployment.At(0).Port(), MakeJobRequest("review"));
   LONGS_EQUAL(static_cast<int>(ResultCode::kJobStoreUnavailable),
-              CodeOf(refused.value()));
+              ErrorResponseCode(refused.value()));
 }
 
 // A million tokens that hardly compress do not fit into one object of the
--- a/test/integration/gooseberrylift-log-test.cc
+++ b/test/integration/gooseberrylift-log-test.cc
@@ -99,8 +99,11 @@
   GatewayDeployment deployment({});
   LONGS_EQUAL(
     200,
-    deployment.Ask(RouteRequest("GET", "/safe/a", "good-id")).value().status_);
-  (void)deployment.Ask(RouteRequest("GET", "/safe/a", "bad-id", "wrong"));
+    deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", "good-id"))
+      .value()
+      .status_);
+  (void)deployment.SendToFirstHost(
+    RouteRequest("GET", "/safe/a", "bad-id", "wrong"));
   Process& host = deployment.At(0).Handle();
   const json placed =
     json::parse(host.WaitForLine("\"event\":1400", 5s), nullptr, false);
--- a/test/integration/gooseberrylift-planned-stop-test.cc
+++ b/test/integration/gooseberrylift-planned-stop-test.cc
@@ -3,7 +3,7 @@
 
 #include "harness.h"
 
-#include "harness-wire.h"
+#include "harness-raw-connection.h"
 
 #include <atomic>
 #include <csignal>
@@ -292,9 +292,9 @@
 {
   const std::string body =
     R"({"model":"m","max_tokens":4,"messages":[{"role":"user","content":"x"}]})";
-  const std::string request = RawChat(body);
+  const std::string request = RawChatRequest(body);
   Host& host = deployment_.At(0);
-  Wire wire(host.Port());
+  RawConnection wire(host.Port());
   wire.Write(request.substr(0, request.size() - 20));
   host.Handle().Signal(SIGTERM);
   CHECK_FALSE(host.Handle().WaitForLine("\"event\":1001", seconds(10)).empty());
--- a/test/integration/gooseberrylift-stop-at-work-test.cc
+++ b/test/integration/gooseberrylift-stop-at-work-test.cc
@@ -167,7 +167,7 @@
     // Peer exchanges and permit requests now get no response.
     for (int call = 0; call < 4; ++call) {
       const std::string id = "at-" + std::to_string(call);
-      (void)deployment.Ask(RouteRequest("GET", "/safe/a", id));
+      (void)deployment.SendToFirstHost(RouteRequest("GET", "/safe/a", id));
     }
     std::this_thread::sleep_for(aDelay);
     deployment.At(0).Handle().Signal(SIGTERM);
--- a/test/integration/gooseberrylift-whole-answer-test.cc
+++ b/test/integration/gooseberrylift-whole-answer-test.cc
@@ -70,7 +70,7 @@
     ++rejected_;
     const json body = json::parse(aAnswer.body_, nullptr, false);
     const std::lock_guard lock(mutex_);
-    ++codes_[CodeOf(aAnswer)];
+    ++codes_[ErrorResponseCode(aAnswer)];
     if (body.value("/error/ran"_json_pointer, "") == "no") {
       notRun_.push_back(body.value("/error/request_id"_json_pointer, ""));
     }
--- a/test/integration/harness-gateway.cc
+++ b/test/integration/harness-gateway.cc
@@ -137,7 +137,7 @@
   return sum;
 }
 
-Outcome<HttpResponse> GatewayDeployment::Ask(HttpRequest aRequest)
+Outcome<HttpResponse> GatewayDeployment::SendToFirstHost(HttpRequest aRequest)
 {
   return Send(At(0).Port(), std::move(aRequest));
 }
--- a/test/integration/harness-gateway.h
+++ b/test/integration/harness-gateway.h
@@ -64,7 +64,7 @@
   int Count(const std::string& aCount, const std::string& aAttemptId);
 
   /// Sends a request to the first host.
-  Outcome<HttpResponse> Ask(HttpRequest aRequest);
+  Outcome<HttpResponse> SendToFirstHost(HttpRequest aRequest);
 
 private:
   Options options_;
--- a/test/integration/harness-wire.cc
+++ b/test/integration/harness-raw-connection.cc
@@ -1,4 +1,4 @@
-#include "harness-wire.h"
+#include "harness-raw-connection.h"
 
 #include <array>
 #include <fstream>
@@ -14,7 +14,7 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-class Wire::Impl
+class RawConnection::Impl
 {
 public:
   explicit Impl(std::uint16_t aPort)
@@ -28,14 +28,14 @@
   tcp::socket socket_;
 };
 
-Wire::Wire(std::uint16_t aPort)
+RawConnection::RawConnection(std::uint16_t aPort)
   : impl_(std::make_unique<Impl>(aPort))
 {
 }
 
-Wire::~Wire() = default;
+RawConnection::~RawConnection() = default;
 
-bool Wire::Write(const std::string& aText)
+bool RawConnection::Write(const std::string& aText)
 {
   boost::system::error_code code;
   impl_->socket_.non_blocking(false, code);
@@ -43,7 +43,7 @@
   return !code;
 }
 
-bool Wire::ReadSome(bool* aEnded)
+bool RawConnection::ReadSome(bool* aEnded)
 {
   std::array<char, 16'384> buffer{};
   boost::system::error_code code;
@@ -54,7 +54,8 @@
   return size > 0;
 }
 
-bool Wire::ReadUntil(const std::string& aText, std::chrono::milliseconds aLimit)
+bool RawConnection::ReadUntil(const std::string& aText,
+                              std::chrono::milliseconds aLimit)
 {
   bool ended = false;
   WaitUntil(aLimit, [&] {
@@ -65,7 +66,7 @@
   return received_.find(aText) != std::string::npos;
 }
 
-bool Wire::ReadToEnd(std::chrono::milliseconds aLimit)
+bool RawConnection::ReadToEnd(std::chrono::milliseconds aLimit)
 {
   bool ended = false;
   return WaitUntil(aLimit, [&] {
@@ -75,19 +76,19 @@
   });
 }
 
-void Wire::HalfClose()
+void RawConnection::ShutdownSend()
 {
   boost::system::error_code ignored;
   impl_->socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-void Wire::Close()
+void RawConnection::Close()
 {
   boost::system::error_code ignored;
   impl_->socket_.close(ignored);
 }
 
-int Wire::Status() const
+int RawConnection::Status() const
 {
   constexpr std::string_view kVersion = "HTTP/1.1 ";
   return received_.starts_with(kVersion)
@@ -95,7 +96,7 @@
            : 0;
 }
 
-int Wire::Code() const
+int RawConnection::Code() const
 {
   constexpr std::string_view kField = "\"code\":";
   const std::size_t at = received_.find(kField);
@@ -104,7 +105,7 @@
            : std::atoi(received_.c_str() + at + kField.size());
 }
 
-std::string RawChat(const std::string& aBody, const std::string& aFields)
+std::string RawChatRequest(const std::string& aBody, const std::string& aFields)
 {
   return "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\n"
          "Authorization: Bearer team-one-key\r\n" +
--- a/test/integration/harness-wire.h
+++ b/test/integration/harness-raw-connection.h
@@ -1,7 +1,7 @@
 // A raw TCP client, for requests that a conforming HTTP client would not send.
 
-#ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_WIRE_H_
-#define GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_WIRE_H_
+#ifndef GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_RAW_CONNECTION_H_
+#define GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_RAW_CONNECTION_H_
 
 #include <chrono>
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 // A client connection, closed by the destructor. Every read has a timeout. All
 // bytes read so far are kept in Received().
-class Wire
+class RawConnection
 {
 public:
-  explicit Wire(std::uint16_t aPort);
-  ~Wire();
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
+  explicit RawConnection(std::uint16_t aPort);
+  ~RawConnection();
+  RawConnection(const RawConnection&) = delete;
+  RawConnection& operator=(const RawConnection&) = delete;
 
   /// Writes a complete text. @return false if the connection is closed
   bool Write(const std::string& aText);
@@ -31,7 +31,7 @@
   bool ReadToEnd(std::chrono::milliseconds aLimit = std::chrono::seconds(10));
 
   /// Shuts down the sending half of the connection only.
-  void HalfClose();
+  void ShutdownSend();
 
   void Close();
 
@@ -53,11 +53,12 @@
 
 /// Formats a chat request as HTTP/1.1 text.
 /// @param aFields additional header lines, each terminated by CR LF
-std::string RawChat(const std::string& aBody, const std::string& aFields = {});
+std::string RawChatRequest(const std::string& aBody,
+                           const std::string& aFields = {});
 
 /// Returns the resident memory of a process in bytes.
 std::uint64_t ResidentBytes(int aProcess);
 
 } // namespace gooseberrylift::test
 
-#endif // GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_WIRE_H_
+#endif // GOOSEBERRYLIFT_TEST_INTEGRATION_HARNESS_RAW_CONNECTION_H_
--- a/test/integration/harness.cc
+++ b/test/integration/harness.cc
@@ -384,7 +384,7 @@
   return text;
 }
 
-int CodeOf(const HttpResponse& aResponse)
+int ErrorResponseCode(const HttpResponse& aResponse)
 {
   const json body = json::parse(aResponse.body_, nullptr, false);
   return body.is_object() ? body.value("/error/code"_json_pointer, 0) : 0;
--- a/test/integration/harness.h
+++ b/test/integration/harness.h
@@ -212,7 +212,7 @@
 std::string StreamText(const std::string& aBody, bool* aWhole);
 
 /// Returns the result code in an error response; 0 if the body has none.
-int CodeOf(const HttpResponse& aResponse);
+int ErrorResponseCode(const HttpResponse& aResponse);
 
 } // namespace gooseberrylift::test
 
--- a/test/integration/once-calls.h
+++ b/test/integration/once-calls.h
@@ -60,7 +60,7 @@
   }
   answer.answered_ = true;
   answer.status_ = response.value().status_;
-  answer.code_ = CodeOf(response.value());
+  answer.code_ = ErrorResponseCode(response.value());
   answer.replayed_ = !response.value().Field("Idempotency-Replayed").empty();
   answer.retryAfter_ = !response.value().Field("Retry-After").empty();
   answer.requestId_ = std::string(response.value().Field("X-Request-Id"));
