--- a/bench/gooseberrylift-bench-fleet.cc
+++ b/bench/gooseberrylift-bench-fleet.cc
@@ -28,7 +28,7 @@
   fakes::FakeBatch::Step step_;
   std::map<std::uint64_t, FlightPtr> flights_; // by the sequence's serial
   std::deque<LoadReport> samples_;
-  std::uint64_t epoch_ = 0; // rises with each start
+  std::uint64_t epoch_ = 0; // incremented on each restart
   bool stepping_ = false;
   bool hangs_ = false;
   bool down_ = false;
@@ -80,7 +80,7 @@
     Host* host = hosts_.back().get();
     host->scheduler_.SetHostCount(static_cast<std::size_t>(options_.hosts_));
     Report(*host);
-    // Hosts poll at different moments, as real ones do.
+    // Staggers the polls of the hosts, as in a real deployment.
     At(options_.reportEvery_ * index / options_.hosts_,
        [this, host] { Poll(*host); });
     At(microseconds(1000 * index), [this, host] { Tick(*host); });
@@ -233,8 +233,8 @@
   const std::uint64_t tokens = aFlight->info_.promptTokens_;
   const std::uint64_t need = tokens + aFlight->info_.maxTokens_;
   if (engine.down_) {
-    // A refused connection counts towards the endpoint's death, as in the
-    // endpoint book.
+    // A refused connection counts as evidence that the endpoint is down, as in
+    // the endpoint registry.
     Host& host = *aFlight->host_;
     if (++host.missedPolls_[static_cast<std::size_t>(engine.index_)] ==
         kPollsUntilDead) {
@@ -302,7 +302,7 @@
   Step(aEngine);
 }
 
-// Gives the place back, and goes on elsewhere when the answer is not whole.
+// Releases the slot and retries on another engine if the answer is incomplete.
 void Fleet::EndAttempt(const FlightPtr& aFlight, bool aFault)
 {
   Host& host = *aFlight->host_;
@@ -334,7 +334,7 @@
   if (whole) {
     Answer(aFlight, ResultCode::kOk);
   } else if (aFlight->record_.late_) {
-    // The caller's deadline ended it.
+    // The caller's deadline expired.
   } else if (aFlight->attempts_ < options_.maxAttempts_) {
     aFlight->info_.excluded_.push_back(name);
     Ask(aFlight);
--- a/bench/gooseberrylift-bench-fleet.h
+++ b/bench/gooseberrylift-bench-fleet.h
@@ -1,5 +1,6 @@
-// A fleet on virtual time: callers, deciding hosts that see one another only
-// through lagged load reports, and engines with the fake engine's cost formula.
+// Discrete-event simulation of a fleet: callers, hosts that schedule requests
+// and see one another only through delayed load reports, and engines that use
+// the fake engine's cost formula.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_FLEET_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_FLEET_H_
@@ -24,17 +25,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One request of a caller.
+// A request that a caller submits.
 struct Arrival
 {
   TimePoint at_{};
-  RequestInfo info_; // deadline_ is set from patience_ when it arrives
+  RequestInfo info_; // deadline_ is computed from patience_ on arrival
   milliseconds patience_{ 60'000 };
-  int resends_ = 0; // how often the caller sends again after a failure
+  int resends_ = 0; // retries by the caller after a failure
   bool crashes_ = false;
 };
 
-// What a caller received for one sending.
+// The outcome of one submission of a request.
 struct Record
 {
   TimePoint sent_{};
@@ -45,9 +46,9 @@
   ResultCode code_ = ResultCode::kOk;
   milliseconds retryAfter_{ 0 };
   microseconds firstToken_{ 0 };
-  bool started_ = false;     // it was given to an engine
-  bool late_ = false;        // not answered whole within its deadline
-  bool refusedLate_ = false; // given up on after it had waited
+  bool started_ = false;     // it was dispatched to an engine
+  bool late_ = false;        // no complete answer within its deadline
+  bool refusedLate_ = false; // rejected after waiting in the queue
 };
 
 struct FleetOptions
@@ -59,14 +60,14 @@
   milliseconds reportEvery_{ 250 };
   milliseconds reportLag_{ 0 };
   std::uint64_t seed_ = 1;
-  bool classPriority_ = true; // engines are told the class, as `serve` does
+  bool classPriority_ = true; // passes the class to engines, as `serve` does
   int maxAttempts_ = 3;
   fakes::FakeBatch::Options engine_{};
   Scheduler::Options scheduler_{};
 };
 
-// Runs arrivals to their end. The same options and arrivals give the same
-// records every time:
+// Simulates a list of arrivals until every request is answered. The result is
+// deterministic for the same options and arrivals:
 //
 //   Fleet fleet(options);
 //   fleet.At(seconds(10), [&] { fleet.Slow(0, 5); });
@@ -77,7 +78,7 @@
   explicit Fleet(FleetOptions aOptions);
   ~Fleet();
 
-  /// Schedules a change of the fleet.
+  /// Schedules a change to the fleet, such as a fault, at a virtual time.
   void At(microseconds aWhen, std::function<void()> aChange);
 
   void Slow(int aEngine, double aFactor);
@@ -85,7 +86,7 @@
   void Kill(int aEngine);
   void Revive(int aEngine);
 
-  /// Plays the arrivals until each has its answer.
+  /// Runs the simulation until every arrival is answered.
   std::vector<Record> Run(const std::vector<Arrival>& aArrivals);
 
   std::uint64_t Dispatches() const { return dispatches_; }
@@ -131,8 +132,8 @@
   std::uint64_t nextId_ = 1;
   std::uint64_t dispatches_ = 0;
   int crashed_ = 0;
-  std::uint64_t timeouts_ = 0; // attempts given up on by the limit
-  std::size_t open_ = 0;       // requests without an answer
+  std::uint64_t timeouts_ = 0; // attempts ended by the timeout
+  std::size_t open_ = 0;       // requests not yet answered
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::vector<std::unique_ptr<Host>> hosts_;
--- a/bench/gooseberrylift-bench-load.cc
+++ b/bench/gooseberrylift-bench-load.cc
@@ -48,7 +48,7 @@
   }
 }
 
-// Two of the teams are large: three quarters of all requests are theirs.
+// Two teams are large and submit three quarters of all requests.
 std::string TeamOf(Random& aRandom, int aTeams)
 {
   const bool large = aRandom() % 4 != 0;
@@ -57,7 +57,7 @@
   return "team-" + std::to_string((large ? 0 : 2) + aRandom() % count);
 }
 
-// The mean engine time of a request of the mix, by drawing many.
+// Estimates the mean prefill time of a request in the mix by sampling.
 double MeanCost(const LoadOptions& aOptions)
 {
   Random random(7);
@@ -167,7 +167,7 @@
 {
   aLoad.load_ = 0.3;
   aPattern.arrivals_ = Mix(aLoad);
-  aLoad.load_ = 2.7; // with the 0.3 it is ten times the rate
+  aLoad.load_ = 2.7; // together with the base load of 0.3, ten times the rate
   aLoad.length_ = seconds(5);
   aLoad.seed_ += 1000;
   std::vector<Arrival> burst = Mix(aLoad);
@@ -175,7 +175,7 @@
   Append(aPattern.arrivals_, std::move(burst));
 }
 
-// The usual mix beside one team that asks for so much of the capacity.
+// The default mix plus one team that requests the given share of the capacity.
 void BesideTeam(Pattern& aPattern, LoadOptions aLoad, double aTeamLoad)
 {
   aLoad.load_ = 0.6;
@@ -209,7 +209,7 @@
   };
 }
 
-// Room state at a tenth of the capacity beside reviews at four tenths.
+// Room state at 10% of the capacity together with reviews at 40%.
 void Reviews(Pattern& aPattern, const LoadOptions& aLoad, bool aWith)
 {
   const double cost = static_cast<double>(PrefillTime(2200).count()) / 1e6;
@@ -233,7 +233,8 @@
 void Overload(Pattern& aPattern, LoadOptions aLoad, double aFactor)
 {
   aLoad.load_ = aFactor;
-  // Longer than a summary's deadline, so that no queue can hide the overload.
+  // Longer than a summary's deadline, so that queueing can't absorb the
+  // overload.
   aLoad.length_ = seconds(aFactor > 0.9 ? 45 : 20);
   aPattern.arrivals_ = Mix(aLoad);
 }
@@ -286,8 +287,8 @@
   pattern.fleet_.zoneDelay_ = aSize.zoneDelay_;
   pattern.fleet_.callerDelay_ = aSize.callerDelay_;
   pattern.fleet_.seed_ = aSeed;
-  // Every prompt fits into one engine, so that the strategies differ by their
-  // decisions alone.
+  // Every prompt fits into one engine, so that strategies differ only in their
+  // placement decisions.
   pattern.fleet_.engine_.kvTokens_ = 1'200'000;
   const LoadOptions load{ .engines_ = aSize.engines_, .seed_ = aSeed };
   switch (aName.front()) {
@@ -295,7 +296,8 @@
       Burst(pattern, load);
       break;
     case 'b':
-      // A tenth of the load is one team's share; hot, it asks eight times that.
+      // One team's fair share is a tenth of the load; the hot team submits
+      // eight times that.
       BesideTeam(pattern, load, aName == "b" ? 0.8 : 0.1);
       break;
     case 'c':
--- a/bench/gooseberrylift-bench-load.h
+++ b/bench/gooseberrylift-bench-load.h
@@ -1,4 +1,4 @@
-// The load patterns of the decision bench, made from a seed.
+// Load patterns of the decision benchmark, generated from a seed.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_LOAD_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_LOAD_H_
@@ -10,28 +10,29 @@
 
 namespace gooseberrylift::bench {
 
-// A stream of requests: room state and gate checks are short and urgent,
-// summaries and evidence are of mixed length, reviews are long and may wait.
+// Parameters of a request stream. Room state and gate checks are short and
+// urgent, summaries and evidence vary in length, and reviews are long and
+// tolerate delay.
 struct LoadOptions
 {
   seconds length_{ 20 };
-  double load_ = 0.5; // of the engines' prefill capacity
+  double load_ = 0.5; // fraction of the engines' prefill capacity
   int engines_ = 25;
   int teams_ = 10;          // the first two are large
-  bool longPrompts_ = true; // 100k and above
+  bool longPrompts_ = true; // includes prompts of 100k tokens and more
   std::uint64_t seed_ = 1;
   int resends_ = 0;
 };
 
-/// Gives the engine time of one prompt by the fake engine's formula.
+/// Returns the prefill time of a prompt according to the fake engine's formula.
 microseconds PrefillTime(std::uint64_t aTokens);
 
-/// Makes the usual mix: lengths log-spread from 1k to 100k, and one in fifty
-/// from 100k to 1M.
+/// Generates the default mix: prompt lengths spread log-uniformly from 1k to
+/// 100k tokens, and one in fifty from 100k to 1M.
 std::vector<Arrival> Mix(const LoadOptions& aOptions);
 
-/// Makes requests of one kind at a steady mean rate.
-/// @param aRate requests a second
+/// Generates requests of one service class at a constant mean rate.
+/// @param aRate requests per second
 std::vector<Arrival> Stream(const LoadOptions& aOptions,
                             double aRate,
                             ServiceClass aClass,
@@ -39,16 +40,17 @@
                             std::uint64_t aMost,
                             const std::string& aTeam = {});
 
-// One pattern of load, ready to run.
+// A load pattern with its arrivals, fleet and scheduled faults.
 struct Pattern
 {
   std::string name_;
   std::vector<Arrival> arrivals_;
-  std::function<void(Fleet&)> changes_; // faults on the way; may be empty
+  std::function<void(Fleet&)>
+    changes_; // schedules faults during the run; may be empty
   FleetOptions fleet_;
 };
 
-// Which of today's two fleets a pattern runs on.
+// The dimensions and network delays of a fleet that a pattern runs on.
 struct FleetSize
 {
   std::string name_;
@@ -61,13 +63,13 @@
 extern const FleetSize kHuonetila;
 extern const FleetSize kVatuvola;
 
-/// Makes a pattern by its letter, a to j; f3 is overload at 3x, e0 is e
-/// without the long prompts.
+/// Creates a pattern by name: a letter from a to j, f3 (overload at 3x) or e0
+/// (e without long prompts).
 Pattern MakePattern(const std::string& aName,
                     const FleetSize& aSize,
                     std::uint64_t aSeed);
 
-/// Lists the names that MakePattern knows.
+/// Returns the names that MakePattern accepts.
 const std::vector<std::string>& PatternNames();
 
 } // namespace gooseberrylift::bench
--- a/bench/gooseberrylift-bench-report.h
+++ b/bench/gooseberrylift-bench-report.h
@@ -1,4 +1,4 @@
-// What callers received, summed up.
+// Summary statistics of a simulated run.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_REPORT_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_BENCH_REPORT_H_
@@ -13,18 +13,18 @@
 
 namespace gooseberrylift::bench {
 
-// What came of one run. Missed are requests that were admitted, which means
-// not refused at once, and got no whole answer in their deadline.
+// Counts of one run. A request is admitted if it is not rejected immediately,
+// and missed if it is admitted but gets no complete answer within its deadline.
 struct Summary
 {
   std::size_t sent_ = 0;
   std::size_t answered_ = 0;
-  std::size_t refused_ = 0; // at once
+  std::size_t refused_ = 0; // rejected immediately
   std::size_t missed_ = 0;
   std::uint64_t dispatches_ = 0;
   std::uint64_t timeouts_ = 0;
-  // Engine seconds a second of answers that were whole in their deadline, while
-  // requests came; what is worked off afterwards does not count.
+  // Engine seconds per second spent on answers completed within their deadline
+  // while requests arrive; the backlog processed afterwards does not count.
   double goodput_ = 0;
 
   double MissShare() const
@@ -40,24 +40,24 @@
 
 Summary Summarize(const std::vector<Record>& aRecords);
 
-/// Gives a quantile of the time to first token of whole answers.
+/// Returns a quantile of the time to first token of complete answers.
 /// @param aQuantile 0.99 for p99
-/// @return milliseconds; 0 when none was selected
+/// @return milliseconds; 0 if no record was selected
 double FirstTokenMs(const std::vector<Record>& aRecords,
                     double aQuantile,
                     const Selects& aSelects);
 
-/// Selects prompts by length, bounds included.
+/// Selects prompts by length; both bounds are inclusive.
 Selects Length(std::uint64_t aLeast, std::uint64_t aMost);
 
-/// Runs a pattern under a placement strategy.
-/// @param aStrategy a placement name; "fcfs-" before it takes the class away
-/// from engines
+/// Runs a pattern with a placement strategy.
+/// @param aStrategy a placement name; the prefix "fcfs-" hides the service
+/// class from engines
 std::vector<Record> RunPattern(Pattern aPattern,
                                const std::string& aStrategy,
                                Summary* aSummary = nullptr);
 
-/// Makes one row of the bench's JSON.
+/// Returns one row of the benchmark's JSON output.
 nlohmann::json RowOf(const std::vector<Record>& aRecords,
                      const Summary& aSummary);
 
--- a/bench/gooseberrylift-cost-bench.cc
+++ b/bench/gooseberrylift-cost-bench.cc
@@ -1,11 +1,11 @@
-// What an entry host costs: the same calls straight to a fake endpoint and
-// through one entry host, by turns in one run.
+// Measures the overhead of an entry host: sends the same calls directly to a
+// fake endpoint and through one entry host, alternating within one run.
 //
 //   build/bench/gooseberrylift-cost-bench [SECONDS-A-CASE] [CASE]
 //
-// For each case it prints the latency of both ways, what the host adds at p50
-// and p99, and the host's processor time a call, from which follow the calls a
-// second that one core carries.
+// For each case it prints the latency of both paths, the latency that the host
+// adds at p50 and p99, and the host's CPU time per call, from which the calls
+// per second and core follow.
 
 #include "harness.h"
 
@@ -34,7 +34,7 @@
 
 constexpr int kCallers = 4;
 
-// One kind of call, as the endpoint and as the host want it.
+// A benchmark case: the same call in the endpoint's and in the host's format.
 struct Case
 {
   const char* name_;
@@ -74,7 +74,7 @@
            aService.Port() };
 }
 
-// One caller with kept connections.
+// A caller with persistent connections.
 class Caller
 {
 public:
@@ -141,7 +141,7 @@
   return aValues[static_cast<std::size_t>(aQuantile * last)];
 }
 
-// Processor time of a process so far, in microseconds.
+// Returns the CPU time that a process has used, in microseconds.
 double CpuOf(int aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/stat");
--- a/bench/gooseberrylift-decision-bench.cc
+++ b/bench/gooseberrylift-decision-bench.cc
@@ -1,4 +1,4 @@
-// Runs the load patterns under several strategies with the same seeds and
+// Runs the load patterns with several strategies and identical seeds, and
 // prints a table, or JSON with --json:
 //
 //   decision-bench [--json] [--fleet huonetila|vatuvola] [--seed N]
--- a/bench/gooseberrylift-decision-slopes.cc
+++ b/bench/gooseberrylift-decision-slopes.cc
@@ -1,5 +1,5 @@
-// What one decision costs against the number of endpoints, the length of the
-// queue and the number of teams:
+// Benchmarks the cost of a scheduling decision as a function of the number of
+// endpoints, the queue length and the number of teams:
 //
 //   decision-slopes --benchmark_min_time=0.2
 
@@ -15,7 +15,7 @@
 
 constexpr int kDefaultEngines = 25;
 
-// A scheduler with a given number of engines and requests that wait.
+// A scheduler with a given number of engines and queued requests.
 class Loaded
 {
 public:
@@ -29,7 +29,7 @@
           .load_ = { .at_ = now_, .kvTokensTotal_ = 4'000'000'000 } });
     }
     scheduler_.SetEndpoints(views_, now_);
-    // The engines are filled up before the queue begins to grow.
+    // Fills all engine slots first, so that further requests are queued.
     while (scheduler_.Waiting() < static_cast<std::size_t>(aWaiting)) {
       scheduler_.OnRequest(Next(), now_);
       Keep();
@@ -48,7 +48,7 @@
              .deadline_ = now_ + seconds(1'000'000) };
   }
 
-  // One request comes, is placed or queued, and one that runs ends.
+  // One request arrives and is placed or queued, and one running request ends.
   void Turn()
   {
     now_ += milliseconds(1);
--- a/bench/gooseberrylift-pass-bench-main.cc
+++ b/bench/gooseberrylift-pass-bench-main.cc
@@ -1,4 +1,4 @@
-// Plays a deployment under its load and prints what its callers get:
+// Simulates a deployment under load and prints the results per request class:
 //
 //   pass-bench --site notes --strategy placed --seeds 8
 
--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -1,4 +1,4 @@
-// The hosts of a play: where they send requests, and when they take them back.
+// Simulated hosts: placement, retries and stall detection.
 
 #include "gooseberrylift-pass-bench.h"
 
@@ -17,10 +17,10 @@
 
 namespace {
 
-// The prompt above which the largest tenth begins, of a log-normal spread.
+// Returns the 90th percentile of a log-normal prompt length.
 double LargestTenthOf(const PassClass& aKind)
 {
-  constexpr double kNinthDecile = 1.2816; // of the standard normal spread
+  constexpr double kNinthDecile = 1.2816; // of the standard normal distribution
   const double median =
     aKind.promptMean_ / std::exp(aKind.promptSpread_ * aKind.promptSpread_ / 2);
   return median * std::exp(kNinthDecile * aKind.promptSpread_);
@@ -35,7 +35,7 @@
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   std::vector<PlacementCandidate> candidates;
-  // The classes stand in the order of their gaps.
+  // The classes are sorted by their maximum gap.
   const ServiceGaps gaps{ .shortest_ = site_.classes_[0].maxGap_,
                           .next_ = site_.classes_[1].maxGap_ };
   candidates.reserve(aAll.size());
@@ -96,7 +96,8 @@
   return DecideLongPromptHold(question, options_.hold_);
 }
 
-// Sends a request back that can't be served, and lets its caller return once.
+// Sends a request that can't be served in time back to its caller, which
+// retries once.
 bool PassPlayer::MustRefuse(const PassRequestPtr& aRequest,
                             const PlacementChoice& aChoice)
 {
@@ -123,7 +124,7 @@
   return MaxRetryDelay(kind.deadline_ - waited);
 }
 
-// Its caller returns once.
+// The caller retries once.
 void PassPlayer::SendBack(const PassRequestPtr& aRequest, milliseconds aWait)
 {
   ++results_[aRequest->class_].refused_;
@@ -205,8 +206,8 @@
            .slots_ = site_.figures_.slots_ };
 }
 
-// Sends the request elsewhere, or gives it up as its caller does, when nothing
-// was heard since some time.
+// Retries the request on another engine, or abandons it as its caller does, if
+// no event arrived within the timeout.
 void PassPlayer::Watch(const PassRequestPtr& aRequest,
                        std::int64_t aSince,
                        microseconds aWait)
@@ -234,7 +235,7 @@
     }
   });
   const milliseconds patience = CallerStallTimeout(RouteOf(aRequest->class_));
-  // Before the first event it counts from when the request came, or came back.
+  // Before the first event the time counts from the request's last arrival.
   const std::int64_t waited = aSince < 0 ? clock_.Now() - aRequest->came_ : 0;
   clock_.After(patience.count() * 1000 - waited, [this, aRequest, aSince] {
     if (aRequest->heard_ == aSince) {
@@ -343,7 +344,7 @@
   tell(aOther, aOne);
 }
 
-// Tells all other hosts what a host has in work where it just placed something.
+// Announces a host's load on the engines of a new placement to other hosts.
 void PassPlayer::TellPlaced(std::size_t aHost, const PlacementChoice& aChoice)
 {
   const FleetLoad& load = hosts_[aHost].load_;
@@ -402,7 +403,7 @@
     results_[kind].name_ = site_.classes_[kind].name_;
     ScheduleArrivals(kind);
   }
-  constexpr double kDrainSeconds = 16; // beyond the longest deadline
+  constexpr double kDrainSeconds = 16; // longer than the longest deadline
   clock_.RunUntil(
     static_cast<std::int64_t>((site_.seconds_ + kDrainSeconds) * 1e6));
   for (std::size_t kind = 0; kind < results_.size(); ++kind) {
--- a/bench/gooseberrylift-pass-bench.h
+++ b/bench/gooseberrylift-pass-bench.h
@@ -1,5 +1,6 @@
-// Plays a site's load on virtual time: callers, several deciding hosts that see
-// each other only by words that come late, and engines that work in passes.
+// Discrete-event simulation of a site under load: callers, hosts that place
+// requests and know each other's load only through delayed messages, and
+// engines that process batches in passes.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_BENCH_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_BENCH_H_
@@ -15,13 +16,13 @@
 
 namespace gooseberrylift::bench {
 
-// One kind of request.
+// A request class: its arrival rate, size distribution and objectives.
 struct PassClass
 {
   std::string name_;
   double perSecond_ = 1;
   double promptMean_ = 1000;
-  double promptSpread_ = 0.5; // of the logarithm
+  double promptSpread_ = 0.5; // standard deviation of the logarithm
   double promptMost_ = 1e6;
   double eventsMean_ = 20;
   double eventsSpread_ = 0.5;
@@ -32,7 +33,7 @@
   double lateWorth_ = 0.25;
 };
 
-// A time in which each kind comes so many times as often.
+// An interval in which the arrival rate of each class is scaled by a factor.
 struct PassPhase
 {
   double fromSeconds_ = 0;
@@ -54,16 +55,16 @@
 enum class PassStrategy
 {
   kPlaced,           // EnginePlacement
-  kLeastOutstanding, // by what a host knows
+  kLeastOutstanding, // by the load known to the host
   kRoundRobin
 };
 
-// How hosts hear of those of other availability zones.
+// How hosts learn the load of hosts in other availability zones.
 enum class PassFar
 {
-  kAll,    // as of those of their own
-  kSample, // of a fixed part of them, as of those of their own
-  kSums,   // in sums of each zone, at an interval
+  kAll,    // from all of them, as within their own zone
+  kSample, // from a fixed sample of them, as within their own zone
+  kSums,   // from periodic per-zone aggregates
   kNone    // not at all
 };
 
@@ -72,64 +73,67 @@
   PassStrategy strategy_ = PassStrategy::kPlaced;
   EnginePlacement::Options placement_{};
   std::size_t block_ = FleetOrderOptions{}.block_;
-  std::chrono::milliseconds round_{ 40 }; // between words of load
-  std::size_t partners_ = 4;              // a round
-  bool tells_ = true;                     // of long prompts at once
-  bool tellsShort_ = true;                // of short ones too
+  std::chrono::milliseconds round_{ 40 }; // interval between load messages
+  std::size_t partners_ = 4;              // per round
+  bool tells_ = true;      // announces placed long prompts immediately
+  bool tellsShort_ = true; // announces placed short prompts too
   PassFar far_ = PassFar::kAll;
-  std::size_t farKnown_ = 64;             // with kSample
-  std::chrono::milliseconds sums_{ 100 }; // between two, with kSums
-  // Between two words of a host with all that it has in work, in fleets where
-  // it can't tell each change; zero: as the rounds say.
+  std::size_t farKnown_ = 64; // sample size for kSample
+  std::chrono::milliseconds sums_{
+    100
+  }; // interval between aggregates for kSums
+  // Interval between a host's messages with its complete load, for fleets where
+  // it can't announce each change; zero leaves it to the rounds.
   std::chrono::milliseconds whole_{ 0 };
-  bool holds_ = true; // long prompts while engines are busy
+  bool holds_ = true; // holds long prompts back while engines are busy
   HoldOptions hold_{};
-  bool defers_ = true;      // those late already let the others go first
-  bool knowsQueues_ = true; // a silence that a queue explains is borne
+  bool defers_ = true; // late requests yield to those still in time
+  bool knowsQueues_ =
+    true; // no stall timeout while a queue explains the silence
   PassLimitOptions limits_{};
-  // Engines run out of memory, places in their queue and parts of others.
+  // Engines have limited memory, queue length and number of helper parts.
   bool bounded_ = false;
-  // How much later than by the way alone a host's words come, in the mean over
-  // hosts, and the part of them that is lost.
+  // Mean extra delay of a host's load messages beyond the network delay, and
+  // the fraction of messages that is lost.
   std::chrono::milliseconds wordDelay_{ 0 };
   double wordLoss_ = 0;
   std::uint64_t seed_ = 1;
 };
 
-// What the callers of one kind got.
+// Results of one request class.
 struct PassResult
 {
   std::string name_;
   int asked_ = 0;
   int inTime_ = 0;
   int late_ = 0;
-  int lateFirst_ = 0; // of the late, that began late
-  int lost_ = 0;      // refused, or the caller left
-  double worth_ = 0;  // earned
-  double owed_ = 0;   // had all been in time
+  int lateFirst_ = 0; // late requests whose first event was late
+  int lost_ = 0;      // refused, or abandoned by the caller
+  double worth_ = 0;  // value earned
+  double owed_ = 0;   // value if all had been in time
   double firstP50Ms_ = 0;
   double firstP99Ms_ = 0;
   int repeats_ = 0;
-  int refused_ = 0;    // sent back, to come again
-  int turnedAway_ = 0; // arrivals that an engine refused
-  int noMemory_ = 0;   // times that memory could not be set aside
-  // Of the largest tenth of the prompts.
+  int refused_ = 0;    // returned to the caller for a retry
+  int turnedAway_ = 0; // arrivals rejected by an engine
+  int noMemory_ = 0;   // failed memory reservations
+  // Counts for the largest tenth of the prompts.
   int largestAsked_ = 0;
   int largestServed_ = 0;
 };
 
-/// Plays a load; the same figures for the same options every time.
-/// @param aLimited gets what engines with a limit were sent
+/// Simulates a site; the result is deterministic for the same options.
+/// @param aLimited receives the counts of rate-limited engines
 std::vector<PassResult> PlayPasses(const PassSite& aSite,
                                    const PassOptions& aOptions,
                                    PassLimitCount* aLimited = nullptr);
 
-/// Gives deployments by name: "notes", with 23 engines, "checks", with 18,
-/// "contracts", whose engines hold hardly more than one long prompt, and
-/// "contracts-large", the same with 91 hosts, and "notes-large", the first with
-/// 295 hosts in five zones before 195 engines, and "notes-fleet", the same with
-/// 985 hosts, 970 engines and a constant load. All mix short prompts with ones
-/// forty times as long, which come in turns of ten seconds, except on
+/// Returns a deployment by name: "notes" has 23 engines, "checks" has 18, and
+/// the engines of "contracts" hold hardly more than one long prompt.
+/// "contracts-large" is "contracts" with 91 hosts. "notes-large" is "notes"
+/// with 295 hosts in five zones and 195 engines. "notes-fleet" is the same with
+/// 985 hosts, 970 engines and a constant load. All mix short prompts with
+/// prompts forty times as long, which alternate every ten seconds except on
 /// "notes-fleet".
 PassSite SiteByName(const std::string& aName);
 
--- a/bench/gooseberrylift-pass-callers.cc
+++ b/bench/gooseberrylift-pass-callers.cc
@@ -1,4 +1,4 @@
-// The callers of a play: what they ask for, when, and what it is worth to them.
+// Simulated callers: arrivals, request sizes and the value of answers.
 
 #include "gooseberrylift-pass-player.h"
 
@@ -25,8 +25,8 @@
     std::stoi(aId.substr(std::string("engine-").size()))));
 }
 
-// A request is worth 0.3 and 0.7 times its size against the usual, at most
-// four times as much as the usual one.
+// The value of a request is 0.3 plus 0.7 times its size relative to the mean,
+// with a maximum of four times the value of a mean request.
 double PassPlayer::WorthOf(const PassRequest& aRequest) const
 {
   constexpr double kAnswerWeight = 10;
@@ -52,7 +52,8 @@
 void PassPlayer::ScheduleArrivals(std::size_t aClass)
 {
   const double seconds = static_cast<double>(clock_.Now()) / 1e6;
-  // Thinned from the highest rate, so that phases begin sharply.
+  // Thins a Poisson process of the highest rate, so that phase boundaries are
+  // exact.
   constexpr double kMostFactor = 4;
   const double rate = site_.classes_[aClass].perSecond_ * kMostFactor;
   std::exponential_distribution<double> pause(rate);
--- a/bench/gooseberrylift-pass-engine.cc
+++ b/bench/gooseberrylift-pass-engine.cc
@@ -60,8 +60,9 @@
   Wake();
 }
 
-// Says whether a job is turned away: an engine queues twice as many requests
-// as it has slots, and helps as many.
+// Returns whether a job is rejected: an engine queues at most twice as many
+// requests as it has slots, and accepts as many
+// helper parts as it has slots.
 bool PassEngine::IsFull(const PassJob& aJob) const
 {
   const auto slots = static_cast<std::ptrdiff_t>(figures_.slots_);
@@ -105,8 +106,8 @@
   return !aJob.isPart_ && aJob.readDone_ >= 1 && aJob.partsPending_ == 0;
 }
 
-// Shares out what a pass may read: parts of spread prompts first, then the
-// others as they came. Gives the time that it takes.
+// Distributes the prefill budget of a pass: parts of spread prompts first, then
+// other prompts in order of arrival. Returns the time needed.
 double PassEngine::PlanReads(double aSteps)
 {
   double tokens = aSteps * static_cast<double>(figures_.prefillTokensPerStep_);
@@ -126,7 +127,7 @@
   return ms;
 }
 
-// The newest request gives its memory back and is read again.
+// Preempts the newest request: frees its memory and restarts its prefill.
 void PassEngine::PreemptNewest()
 {
   const auto newest =
@@ -187,7 +188,7 @@
 void PassEngine::EndPass()
 {
   busy_ = false;
-  const auto jobs = jobs_; // callbacks may add to it
+  const auto jobs = jobs_; // a copy, as callbacks may add jobs
   for (const auto& job : jobs) {
     if (job->cancelled_ || job->readDone_ < 1) {
       continue;
--- a/bench/gooseberrylift-pass-engine.h
+++ b/bench/gooseberrylift-pass-engine.h
@@ -1,6 +1,7 @@
-// An engine on virtual time that works in passes: it reads prompts between the
-// tokens of other requests, alone or as one of several. A bounded one also has
-// a memory, a queue and a number of helpers' parts that run full.
+// Simulated engine that works in passes: it interleaves prefill with the decode
+// steps of other requests, and may share the prefill of one prompt with other
+// engines. A bounded engine also limits its memory, queue length and number of
+// helper parts.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_ENGINE_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_ENGINE_H_
@@ -17,14 +18,14 @@
 
 namespace gooseberrylift::bench {
 
-// Runs callbacks in the order of their times, those of one time in the order
-// in which they were added.
+// Event queue that runs callbacks in order of their times, and in order of
+// insertion at equal times.
 class VirtualClock
 {
 public:
   using Callback = std::function<void()>;
 
-  /// Gives the time in microseconds.
+  /// Returns the virtual time in microseconds.
   std::int64_t Now() const { return now_; }
 
   void After(std::int64_t aMicroseconds, Callback aCallback);
@@ -53,47 +54,47 @@
   std::priority_queue<Entry, std::vector<Entry>, Later> entries_;
 };
 
-// A request at an engine, or a part of one that another engine reads.
+// A request on an engine, or a part of its prompt that a helper prefills.
 struct PassJob
 {
   std::uint64_t promptTokens_ = 0; // of its part
   double readMs_ = 0;              // of its part
-  bool isPart_ = false;            // ends when it is read
-  bool spread_ = false;            // several engines read it
-  int events_ = 0;                 // to be written
-  int partsPending_ = 0;           // at other engines
+  bool isPart_ = false;            // ends when its prefill is complete
+  bool spread_ = false;            // several engines share its prefill
+  int events_ = 0;                 // left to generate
+  int partsPending_ = 0;           // unfinished on other engines
   bool cancelled_ = false;
-  int urgency_ = 0;                 // the lowest is taken into a slot first
-  std::function<void()> onEvent_;   // a request's event
-  std::function<void()> onRead_;    // a part's end
-  std::function<void()> onRefused_; // by a bounded engine, not run
-  // Of a bounded engine's memory, for its prompt; not what is in tickets.
+  int urgency_ = 0;                 // the lowest value gets a slot first
+  std::function<void()> onEvent_;   // called for each output event
+  std::function<void()> onRead_;    // called when a part is prefilled
+  std::function<void()> onRefused_; // called if a bounded engine rejects it
+  // Memory of a bounded engine used by the prompt, without reservations.
   std::uint64_t memoryTokens_ = 0;
-  // Kept by the engine.
-  double readDone_ = 0; // share of its part
+  // Progress, updated by the engine.
+  double readDone_ = 0; // completed fraction of its part
   bool writing_ = false;
-  std::uint64_t grown_ = 0; // tokens written
+  std::uint64_t grown_ = 0; // generated tokens
 };
 
 class PassEngine
 {
 public:
-  /// @param aBounded whether what is full refuses and preempts
+  /// @param aBounded whether the engine rejects and preempts when it is full
   PassEngine(VirtualClock& aClock, EngineProfile aFigures, bool aBounded);
 
   void Add(std::shared_ptr<PassJob> aJob);
 
-  /// Sets memory aside for a request.
-  /// @return false when there is no room
+  /// Reserves memory for a request.
+  /// @return false if there is not enough free memory
   bool Reserve(std::uint64_t aRequest, std::uint64_t aTokens);
 
-  /// Frees what was set aside for a request.
+  /// Releases the memory reserved for a request.
   void Release(std::uint64_t aRequest);
 
-  /// Gives how often a request lost its memory and had to be read again.
+  /// Returns how often a request was preempted and had to be prefilled again.
   int Preempted() const { return preempted_; }
 
-  /// Goes on when a job's last part was read elsewhere.
+  /// Resumes when the last part of a job was prefilled elsewhere.
   void Wake();
 
 private:
@@ -110,9 +111,9 @@
   bool bounded_;
   bool busy_ = false;
   int preempted_ = 0;
-  std::map<std::uint64_t, std::uint64_t> tickets_; // tokens by request
-  std::list<std::shared_ptr<PassJob>> jobs_;       // in slots, and parts
-  std::list<std::shared_ptr<PassJob>> queue_;      // wait for a slot
+  std::map<std::uint64_t, std::uint64_t> tickets_; // reserved tokens by request
+  std::list<std::shared_ptr<PassJob>> jobs_;  // requests in slots, and parts
+  std::list<std::shared_ptr<PassJob>> queue_; // requests waiting for a slot
 };
 
 } // namespace gooseberrylift::bench
--- a/bench/gooseberrylift-pass-limits.cc
+++ b/bench/gooseberrylift-pass-limits.cc
@@ -11,7 +11,7 @@
 constexpr std::int64_t kRoundTrip = 3'000; // us, between two hosts
 constexpr std::int64_t kWindow = 4'000'000;
 
-// Until all hosts know of a limit, and it counts what they send.
+// Delay until all hosts know a limit and their requests are counted.
 constexpr double kKnownAfter = 0.3; // s
 
 } // namespace
--- a/bench/gooseberrylift-pass-limits.h
+++ b/bench/gooseberrylift-pass-limits.h
@@ -1,4 +1,4 @@
-// Engines of a play that name a rate limit, and ways for hosts to keep to it.
+// Simulated engines with a rate limit, and strategies of hosts to respect it.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_LIMITS_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_LIMITS_H_
@@ -18,26 +18,26 @@
 
 enum class PassLimitMode
 {
-  kIgnored,   // hosts send as if there were no limit
-  kAvoided,   // hosts send nothing there
-  kEvenParts, // each host keeps to its even part of the rate
+  kIgnored,   // hosts ignore the limit
+  kAvoided,   // hosts avoid engines with a limit
+  kEvenParts, // each host uses an equal share of the rate
   kPermits    // one host grants permits
 };
 
 struct PassLimitOptions
 {
-  int engines_ = 0;        // that name a limit
+  int engines_ = 0;        // number of engines with a limit
   double perSecond_ = 1.5; // over all hosts
   double fromSeconds_ = 6;
   double toSeconds_ = 26;
   PassLimitMode mode_ = PassLimitMode::kPermits;
 };
 
-// What limited engines got while their limits were in force.
+// Requests sent to limited engines while their limits were in force.
 struct PassLimitCount
 {
   std::size_t sent_ = 0;         // requests, and parts of prompts
-  std::size_t mostInWindow_ = 0; // at one engine within 4 s
+  std::size_t mostInWindow_ = 0; // maximum at one engine within 4 s
 };
 
 class PassLimits
@@ -47,11 +47,11 @@
 
   bool IsLimited(const std::string& aEngine) const;
 
-  /// Says whether a host may send to an engine now, and asks for a permit when
+  /// Returns whether a host may send to an engine now, and requests a permit if
   /// it may not.
   bool MayUse(std::size_t aHost, const std::string& aEngine);
 
-  /// Notes that a host sends a request, or a part of one.
+  /// Records that a host sends a request or a part of one.
   void OnSent(std::size_t aHost, const std::string& aEngine);
 
   const PassLimitCount& Count() const { return count_; }
@@ -62,7 +62,7 @@
   VirtualClock& clock_;
   PassLimitOptions options_;
   std::vector<RatePermits> permits_;  // by host
-  std::vector<RateGranter> granters_; // by host; of permits, the first one
+  std::vector<RateGranter> granters_; // by host; kPermits uses only the first
   std::map<std::string, std::deque<std::int64_t>> window_;
   PassLimitCount count_;
 };
--- a/bench/gooseberrylift-pass-player.h
+++ b/bench/gooseberrylift-pass-player.h
@@ -1,4 +1,4 @@
-// One play of a site on virtual time: its callers, hosts and engines.
+// Simulation of one site: its callers, hosts and engines.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_PLAYER_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_PASS_PLAYER_H_
@@ -19,16 +19,17 @@
 
 namespace gooseberrylift::bench {
 
-constexpr int kMostSends = 2;        // engines that one request is given to
-constexpr std::int64_t kHop = 1'500; // us, from a host to an engine or a host
+constexpr int kMostSends = 2; // maximum number of attempts per request
+constexpr std::int64_t kHop =
+  1'500; // us, one-way delay from a host to an engine or host
 
-// Gives the virtual time as hosts know it.
+// Converts the virtual time to a time point.
 inline TimePoint At(const VirtualClock& aClock)
 {
   return TimePoint(std::chrono::microseconds(aClock.Now()));
 }
 
-// One request of a caller.
+// A request with its state on the host.
 struct PassRequest
 {
   std::uint64_t id_ = 0;
@@ -37,24 +38,24 @@
   std::uint64_t prompt_ = 0;
   int events_ = 1;
   std::int64_t arrived_ = 0;
-  std::int64_t came_ = 0;   // when it arrived, or came back
-  std::int64_t sent_ = 0;   // the last time
-  std::int64_t heard_ = -1; // last event; -1 before the first
+  std::int64_t came_ = 0;   // last arrival, including retries by the caller
+  std::int64_t sent_ = 0;   // time of the last attempt
+  std::int64_t heard_ = -1; // time of the last event; -1 before the first
   double firstMs_ = -1;
   int got_ = 0;
-  bool gap_ = false; // one was too long
+  bool gap_ = false; // a gap between events exceeded the maximum
   bool done_ = false;
-  bool refused_ = false;  // once; its caller comes back once
-  bool deferred_ = false; // where it was placed last
+  bool refused_ = false;  // refused once; the caller retries once
+  bool deferred_ = false; // in its last placement
   int sends_ = 0;
   std::set<std::string> tried_;
   std::shared_ptr<PassJob> job_;
   std::vector<std::shared_ptr<PassJob>> parts_;
   std::string engine_;
   std::vector<std::string> helpers_;
-  std::vector<std::uint64_t> held_;  // tokens to be set aside, by helper
-  std::vector<std::string> tickets_; // engines with memory set aside for it
-  std::int64_t unsent_ = 0;          // us lost on memory that was not to be had
+  std::vector<std::uint64_t> held_;  // tokens to reserve, by helper
+  std::vector<std::string> tickets_; // engines with a memory reservation for it
+  std::int64_t unsent_ = 0;          // us spent on failed memory reservations
 };
 using PassRequestPtr = std::shared_ptr<PassRequest>;
 
@@ -62,11 +63,11 @@
 {
   std::string name_;
   std::size_t zone_ = 0;
-  std::set<std::size_t> far_; // hosts of other zones that hear of this one
+  std::set<std::size_t> far_; // hosts of other zones that receive its load
   FleetLoad load_{ FleetLoad::Options{} };
   FleetRetryBudget repeats_{ FleetRetryBudget::Options{} };
   std::int64_t wordDelay_ = 0; // us
-  std::size_t next_ = 0;       // of round robin
+  std::size_t next_ = 0;       // next engine for round robin
 };
 
 class PassPlayer
@@ -148,14 +149,15 @@
   const PassSite& site_;
   PassOptions options_;
   VirtualClock clock_;
-  std::mt19937_64 arrivals_; // so that they are the same for all options
+  std::mt19937_64
+    arrivals_; // separate, so that arrivals don't depend on options
   std::mt19937_64 random_;
   EnginePlacement placement_;
   PassLimits limits_;
   std::vector<ListedEndpoint> listed_;
   std::vector<std::unique_ptr<PassEngine>> engines_;
   std::vector<PassHost> hosts_;
-  // By zone, what was told last of each engine.
+  // By zone, the last announced aggregate of each engine.
   std::vector<std::map<std::string, EndpointShare>> sums_;
   std::vector<PassResult> results_;
   std::vector<std::vector<double>> firsts_;
--- a/bench/gooseberrylift-pass-send.cc
+++ b/bench/gooseberrylift-pass-send.cc
@@ -1,5 +1,5 @@
-// How a host of a play takes a request to its engines: memory that is set aside
-// first, parts for helpers, and engines that turn it away.
+// Dispatch of a request by a simulated host: memory reservation, parts for
+// helpers, and rejection by engines.
 
 #include "gooseberrylift-pass-player.h"
 
@@ -12,14 +12,13 @@
 
 namespace {
 
-// A host gives a request up that has lost so much on memory that was not to be
-// had.
+// A host abandons a request that spent this long on failed memory reservations.
 constexpr std::int64_t kMostUnsent = 1'000'000; // us
 
 } // namespace
 
-// Sets memory aside at one helper after the other, a round trip each, and sends
-// the request when it is there.
+// Reserves memory on one helper after another, with one round trip each, and
+// sends the request once all reservations succeeded.
 void PassPlayer::TakeMemory(const PassRequestPtr& aRequest, std::size_t aNext)
 {
   while (aNext < aRequest->held_.size() &&
@@ -52,7 +51,7 @@
   });
 }
 
-// An engine turned the request, or a part of it, away.
+// Handles the rejection of a request, or of a part of it, by an engine.
 void PassPlayer::OnRefused(const PassRequestPtr& aRequest,
                            const std::shared_ptr<PassJob>& aJob)
 {
--- a/bench/gooseberrylift-pass-sites.cc
+++ b/bench/gooseberrylift-pass-sites.cc
@@ -21,7 +21,7 @@
            .typicalAnswerTokens_ = 1541 };
 }
 
-// What one site has of a kind of request that others have otherwise.
+// Parameters of a request class that differ between sites.
 struct Kind
 {
   double perSecond_;
@@ -31,7 +31,7 @@
   double lateWorth_;
 };
 
-// The longest prompts are all that differs in size between sites.
+// Only the maximum prompt length differs in size between sites.
 struct LongPrompts
 {
   double mean_;
@@ -39,7 +39,7 @@
   milliseconds objective_;
 };
 
-// The three kinds that all sites have, the shortest gaps first.
+// The three request classes of all sites, sorted by maximum gap.
 std::vector<PassClass> ThreeKinds(const Kind& aShort,
                                   const Kind& aMiddle,
                                   const Kind& aLong,
@@ -77,8 +77,7 @@
                   .deadline_ = milliseconds(15'000) }) };
 }
 
-// Engines that hold hardly more than one long prompt, and many small hosts
-// before them.
+// Engines that hold hardly more than one long prompt, with many small hosts.
 PassSite ContractsSite(bool aLarge)
 {
   PassSite site{ .hosts_ = aLarge ? 91 : 6,
@@ -120,7 +119,7 @@
   return site;
 }
 
-// Many small hosts in five zones before many engines of ten slots.
+// Many small hosts in five zones, and many engines with ten slots each.
 PassSite LargeNotesSite(int aHosts, int aEngines, double aRateFactor)
 {
   PassSite site{ .hosts_ = aHosts,
--- a/bench/gooseberrylift-pass-words.cc
+++ b/bench/gooseberrylift-pass-words.cc
@@ -1,4 +1,4 @@
-// How the hosts of a play hear of those of other zones.
+// Load messages between simulated hosts of different availability zones.
 
 #include "gooseberrylift-pass-player.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-// From a host to one of another zone by way of a third.
+// Delay from a host to one in another zone through a relaying host.
 constexpr std::int64_t kRelayed = 4'000; // us
 
-// A sum is told anew when it differs in more than the passing of time.
+// An aggregate is sent again if it differs in more than elapsed time.
 bool Differs(const EndpointShare& aOne, const EndpointShare& aOther)
 {
   constexpr std::chrono::milliseconds kRead{ 50 };
@@ -41,7 +41,7 @@
   }
 }
 
-// A host whose processor is short is late with all of its words.
+// A host that is short of CPU time delays all of its messages.
 void PassPlayer::DrawWordDelays()
 {
   if (options_.wordDelay_.count() == 0) {
@@ -92,7 +92,7 @@
                [this, aZone] { TellSums(aZone); });
 }
 
-// One host of a zone sums it up for the others; here the first one.
+// One host per zone, here the first, aggregates the zone's load for others.
 void PassPlayer::TellChanges(std::size_t aZone)
 {
   const std::string zone = "zone-" + std::to_string(aZone);
--- a/bench/slopes/gooseberrylift-core-slopes.cc
+++ b/bench/slopes/gooseberrylift-core-slopes.cc
@@ -1,4 +1,4 @@
-// Slopes of the parts that one process holds: time and memory against the
+// Measures how time and memory of the components of one process scale with the
 // number of teams, engines, series and prompt bytes. Takes a few seconds.
 
 #include <cstdio>
@@ -169,7 +169,7 @@
     });
 }
 
-// Fills the counters with one request of each of so many teams.
+// Adds one request for each of the given number of teams to the counters.
 void FillCounters(BurnCounters& aCounters, int aTeams)
 {
   const ServiceObjective objective;
@@ -234,7 +234,7 @@
   return digest;
 }
 
-// A table that has heard of so many hosts of its own zone.
+// Creates a table with load from the given number of hosts of its own zone.
 PeerTable TableOf(int aHosts)
 {
   PeerTable table({ .host_ = "entry-self",
@@ -250,7 +250,7 @@
   return table;
 }
 
-// Bytes of a message's digests as JSON, without its envelope.
+// Returns the JSON size of a message's digests in bytes, without the envelope.
 double BytesOf(const PeerMessage& aMessage)
 {
   std::size_t bytes = DigestToJson(aMessage.from_).dump().size();
--- a/bench/slopes/gooseberrylift-fleet-slopes.cc
+++ b/bench/slopes/gooseberrylift-fleet-slopes.cc
@@ -1,6 +1,7 @@
-// Slopes of whole processes against the number of entry hosts, engines, tokens
-// and prompt bytes, with small fakes for the outside systems. At most 40 entry
-// hosts and 60 engines run at a time; takes about four minutes.
+// Measures how the cost of whole processes scales with the number of entry
+// hosts, engines, tokens and prompt bytes, with small fakes of the external
+// systems. Runs at most 40 entry hosts and 60 engines at a time, and takes
+// about four minutes.
 
 #include <algorithm>
 #include <cstdio>
@@ -22,7 +23,7 @@
 namespace {
 
 constexpr std::chrono::seconds kWatch{ 10 };
-// Hosts call the store more often while they join.
+// Hosts call the store more often while they join the fleet.
 constexpr std::chrono::seconds kSettle{ 45 };
 constexpr std::chrono::seconds kWatchStore{ 60 };
 constexpr const char* kConfigurationPath =
@@ -36,7 +37,7 @@
                       { "host_list", { { "poll_ms", 1000 } } } } };
 }
 
-// Processor time of a process so far, in microseconds.
+// Returns the CPU time that a process has used, in microseconds.
 double ProcessorTime(int aPid)
 {
   std::ifstream file("/proc/" + std::to_string(aPid) + "/stat");
@@ -53,7 +54,7 @@
   return ticks * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-// A figure of /proc/PID/status in bytes, such as "VmRSS:".
+// Returns a field of /proc/PID/status, such as "VmRSS:", in bytes.
 double MemoryOf(int aPid, const std::string& aField)
 {
   std::ifstream file("/proc/" + std::to_string(aPid) + "/status");
@@ -75,7 +76,7 @@
   return sum;
 }
 
-// What idle hosts cost, as a mean over them.
+// Resource use of idle hosts, averaged over the hosts.
 struct IdleCost
 {
   double corePercent_ = 0;
@@ -111,8 +112,8 @@
   return json::parse(object.value().body_, nullptr, false);
 }
 
-// Writes the configuration with the next generation and waits for all hosts.
-// Gives the time in milliseconds; -1 when a host did not follow in time.
+// Writes the configuration with the next generation and waits until all hosts
+// applied it. Returns the time in milliseconds, or -1 on timeout.
 double MeasureSpread(Deployment& aDeployment)
 {
   json object = ReadConfiguration(aDeployment);
@@ -160,7 +161,7 @@
              spread);
 }
 
-// Three fleets side by side, 38 hosts in all.
+// Three concurrent fleets with 38 hosts in total.
 void MeasureStoreCalls()
 {
   std::vector<std::unique_ptr<Deployment>> fleets;
@@ -203,11 +204,11 @@
 
 struct RequestCost
 {
-  double processorTime_ = 0; // us for each request
-  double peakBytes_ = 0;     // of resident memory
+  double processorTime_ = 0; // us per request
+  double peakBytes_ = 0;     // peak resident memory
 };
 
-// Sends requests to a fresh host, one after the other, for some seconds.
+// Sends sequential requests to a newly started host for some seconds.
 RequestCost CostOfRequest(std::size_t aPromptBytes, int aTokens)
 {
   Deployment::Options options = FleetOf(1, 2);
@@ -262,7 +263,7 @@
              memory);
 }
 
-// What one answer to GET /load takes on the wire, without TCP and IP.
+// Returns the size of a GET /load response, without TCP and IP headers.
 void PrintLoadReport()
 {
   Deployment deployment(FleetOf(1, 1));
@@ -270,7 +271,7 @@
   if (!load) {
     return;
   }
-  constexpr std::size_t kStatusLine = 17; // HTTP/1.1 200 OK and its line end
+  constexpr std::size_t kStatusLine = 17; // HTTP/1.1 200 OK and CRLF
   std::size_t head = kStatusLine;
   for (const HttpField& field : load.value().fields_) {
     head += field.name_.size() + field.value_.size() + 4;
--- a/bench/slopes/gooseberrylift-slope-table.cc
+++ b/bench/slopes/gooseberrylift-slope-table.cc
@@ -69,7 +69,7 @@
 double MicrosecondsOf(const std::function<void()>& aCall)
 {
   using Clock = std::chrono::steady_clock;
-  aCall(); // warms caches
+  aCall(); // warm-up call
   const auto start = Clock::now();
   std::chrono::duration<double, std::micro> passed{ 0 };
   int calls = 0;
--- a/bench/slopes/gooseberrylift-slope-table.h
+++ b/bench/slopes/gooseberrylift-slope-table.h
@@ -1,4 +1,4 @@
-// Measured points and the straight line through them.
+// Measurements and their linear regression.
 
 #ifndef GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_SLOPE_TABLE_H_
 #define GOOSEBERRYLIFT_BENCH_GOOSEBERRYLIFT_SLOPE_TABLE_H_
@@ -19,13 +19,13 @@
 {
   double intercept_ = 0;
   double slope_ = 0;
-  double r2_ = 0; // share of the variance that the line explains
+  double r2_ = 0; // coefficient of determination
 };
 
-/// Fits a line by least squares.
+/// Fits a line with the least-squares method.
 SlopeFit FitLine(const std::vector<SlopePoint>& aPoints);
 
-/// Prints points and fit of one measurement.
+/// Prints the points and the fitted line of a measurement.
 /// @param aName what was measured
 /// @param aSizeUnit the unit of the sizes, in the singular
 /// @param aValueUnit the unit of the values
@@ -34,18 +34,18 @@
                 const std::string& aValueUnit,
                 const std::vector<SlopePoint>& aPoints);
 
-/// Calls a function for each size and prints the slope.
+/// Measures a function for each size and prints the fitted line.
 void Measure(const std::string& aName,
              const std::string& aSizeUnit,
              const std::string& aValueUnit,
              const std::vector<double>& aSizes,
              const std::function<double(double aSize)>& aValueOf);
 
-/// Gives the mean time of a call in microseconds, over as many calls as fit in
-/// a tenth of a second, and three at least.
+/// Returns the mean time of a call in microseconds, over as many calls as fit
+/// into a tenth of a second, but at least three.
 double MicrosecondsOf(const std::function<void()>& aCall);
 
-/// Gives the bytes that the heap holds now.
+/// Returns the number of bytes currently allocated on the heap.
 double HeapBytes();
 
 } // namespace gooseberrylift::bench
