--- a/test/core/gooseberrylift-pass-engine-test.cc
+++ b/test/core/gooseberrylift-pass-engine-test.cc
@@ -1,4 +1,4 @@
-// The engine model of pass-bench, where it runs full.
+// Tests the simulated engine of pass-bench at its memory and queue limits.
 
 #include "bench/gooseberrylift-pass-engine.h"
 
@@ -55,7 +55,7 @@
     engine.Add(Job(100, 1'000));
     clock_.RunUntil(clock_.Now() + kSecond / 10);
   }
-  LONGS_EQUAL(4, refused_); // two run and four wait
+  LONGS_EQUAL(4, refused_); // two run and four are queued
 }
 
 TEST(PassEngineTest, TurnsPartsAwayWhenItHelpsAsManyAsItHasSlots)
