--- a/bench/gooseberrylift-bench-fleet.cc
+++ b/bench/gooseberrylift-bench-fleet.cc
@@ -79,7 +79,7 @@
     hosts_.back()->missedPolls_.resize(engines_.size());
     Host* host = hosts_.back().get();
     host->scheduler_.SetHostCount(static_cast<std::size_t>(options_.hosts_));
-    Report(*host);
+    UpdateEndpoints(*host);
     // Staggers the polls of the hosts, as in a real deployment.
     At(options_.reportEvery_ * index / options_.hosts_,
        [this, host] { Poll(*host); });
@@ -133,7 +133,7 @@
   for (const Arrival& arrival : aArrivals) {
     ++open_;
     At(std::chrono::duration_cast<microseconds>(arrival.at_.time_since_epoch()),
-       [this, arrival] { Enter(arrival); });
+       [this, arrival] { StartRequest(arrival); });
   }
   while (open_ > 0 && !events_.empty()) {
     const Event event = events_.top();
@@ -148,7 +148,7 @@
   return std::move(records_);
 }
 
-void Fleet::Enter(const Arrival& aArrival)
+void Fleet::StartRequest(const Arrival& aArrival)
 {
   auto flight = std::make_shared<Flight>();
   flight->arrival_ = aArrival;
@@ -159,7 +159,7 @@
                       .class_ = aArrival.info_.class_,
                       .promptTokens_ = aArrival.info_.promptTokens_ };
   flight->host_ = hosts_[random_() % hosts_.size()].get();
-  At(options_.callerDelay_, [this, flight] { Ask(flight); });
+  At(options_.callerDelay_, [this, flight] { Submit(flight); });
   At(aArrival.patience_, [this, flight] {
     if (!flight->done_) {
       flight->record_.late_ = true;
@@ -169,15 +169,15 @@
   });
 }
 
-void Fleet::Ask(const FlightPtr& aFlight)
+void Fleet::Submit(const FlightPtr& aFlight)
 {
   aFlight->info_.id_ = nextId_++;
   aFlight->host_->flights_[aFlight->info_.id_] = aFlight;
   aFlight->host_->scheduler_.OnRequest(aFlight->info_, now_);
-  Act(*aFlight->host_);
+  ExecuteActions(*aFlight->host_);
 }
 
-void Fleet::Act(Host& aHost)
+void Fleet::ExecuteActions(Host& aHost)
 {
   for (const SchedulerAction& action : aHost.scheduler_.TakeActions()) {
     const auto found = aHost.flights_.find(action.id_);
@@ -238,7 +238,7 @@
     Host& host = *aFlight->host_;
     if (++host.missedPolls_[static_cast<std::size_t>(engine.index_)] ==
         kPollsUntilDead) {
-      Report(host);
+      UpdateEndpoints(host);
     }
   }
   if (engine.down_ || !engine.batch_.Fits(need)) {
@@ -289,7 +289,7 @@
       flight->record_.firstToken_ = std::chrono::duration_cast<microseconds>(
         now_ + back - flight->record_.sent_);
       flight->host_->scheduler_.OnFirstToken(flight->info_.id_, now_);
-      Act(*flight->host_);
+      ExecuteActions(*flight->host_);
     }
     flight->tokens_ = next;
     if (next >= flight->info_.maxTokens_) {
@@ -337,11 +337,11 @@
     // The caller's deadline expired.
   } else if (aFlight->attempts_ < options_.maxAttempts_) {
     aFlight->info_.excluded_.push_back(name);
-    Ask(aFlight);
+    Submit(aFlight);
   } else {
     Answer(aFlight, ResultCode::kEndpointBroken);
   }
-  Act(host);
+  ExecuteActions(host);
 }
 
 void Fleet::Answer(const FlightPtr& aFlight, ResultCode aCode)
@@ -358,7 +358,7 @@
     --again.resends_;
     ++open_;
     const auto wait = std::max(milliseconds(50), aFlight->record_.retryAfter_);
-    At(wait, [this, again] { Enter(again); });
+    At(wait, [this, again] { StartRequest(again); });
   }
   --open_;
 }
@@ -382,7 +382,7 @@
   At(kSampleEvery, [this] { SampleLoads(); });
 }
 
-void Fleet::Report(Host& aHost)
+void Fleet::UpdateEndpoints(Host& aHost)
 {
   std::vector<EndpointView> views;
   for (const auto& engine : engines_) {
@@ -400,7 +400,7 @@
                                           : engine->samples_.front() });
   }
   aHost.scheduler_.SetEndpoints(std::move(views), now_);
-  Act(aHost);
+  ExecuteActions(aHost);
 }
 
 void Fleet::Poll(Host& aHost)
@@ -409,14 +409,14 @@
     const auto index = static_cast<std::size_t>(engine->index_);
     aHost.missedPolls_[index] += engine->down_ ? 1 : 0;
   }
-  Report(aHost);
+  UpdateEndpoints(aHost);
   At(options_.reportEvery_, [this, &aHost] { Poll(aHost); });
 }
 
 void Fleet::Tick(Host& aHost)
 {
   aHost.scheduler_.OnTick(now_);
-  Act(aHost);
+  ExecuteActions(aHost);
   At(kTick, [this, &aHost] { Tick(aHost); });
 }
 
--- a/bench/gooseberrylift-bench-fleet.h
+++ b/bench/gooseberrylift-bench-fleet.h
@@ -99,16 +99,16 @@
   struct Flight;
   using FlightPtr = std::shared_ptr<Flight>;
 
-  void Enter(const Arrival& aArrival);
-  void Ask(const FlightPtr& aFlight);
-  void Act(Host& aHost);
+  void StartRequest(const Arrival& aArrival);
+  void Submit(const FlightPtr& aFlight);
+  void ExecuteActions(Host& aHost);
   void Dispatch(const FlightPtr& aFlight, const SchedulerAction& aAction);
   void ArriveAtEngine(const FlightPtr& aFlight, std::uint64_t aAttempt);
   void Step(Engine& aEngine);
   void EndStep(Engine& aEngine, std::uint64_t aEpoch);
   void EndAttempt(const FlightPtr& aFlight, bool aFault);
   void Answer(const FlightPtr& aFlight, ResultCode aCode);
-  void Report(Host& aHost);
+  void UpdateEndpoints(Host& aHost);
   void Poll(Host& aHost);
   void SampleLoads();
   void Tick(Host& aHost);
--- a/bench/gooseberrylift-bench-load.cc
+++ b/bench/gooseberrylift-bench-load.cc
@@ -16,13 +16,10 @@
 
 using Random = std::mt19937_64;
 
-std::uint64_t LogSpread(Random& aRandom,
-                        std::uint64_t aLeast,
-                        std::uint64_t aMost)
+std::uint64_t LogSpread(Random& aRandom, std::uint64_t aMin, std::uint64_t aMax)
 {
   std::uniform_real_distribution<double> exponent(
-    std::log(static_cast<double>(aLeast)),
-    std::log(static_cast<double>(aMost)));
+    std::log(static_cast<double>(aMin)), std::log(static_cast<double>(aMax)));
   return static_cast<std::uint64_t>(std::exp(exponent(aRandom)));
 }
 
@@ -139,12 +136,12 @@
 std::vector<Arrival> Stream(const LoadOptions& aOptions,
                             double aRate,
                             ServiceClass aClass,
-                            std::uint64_t aLeast,
-                            std::uint64_t aMost,
+                            std::uint64_t aMin,
+                            std::uint64_t aMax,
                             const std::string& aTeam)
 {
   Random random(aOptions.seed_ + static_cast<std::uint64_t>(aClass) * 31 +
-                aLeast);
+                aMin);
   std::exponential_distribution<double> gap(aRate);
   std::vector<Arrival> arrivals;
   const double end = static_cast<double>(aOptions.length_.count());
@@ -153,7 +150,7 @@
     arrival.at_ = TimePoint(microseconds(static_cast<std::int64_t>(at * 1e6)));
     arrival.info_.team_ =
       aTeam.empty() ? TeamOf(random, aOptions.teams_) : aTeam;
-    arrival.info_.promptTokens_ = LogSpread(random, aLeast, aMost);
+    arrival.info_.promptTokens_ = LogSpread(random, aMin, aMax);
     arrival.resends_ = aOptions.resends_;
     SetClass(arrival, aClass);
     arrivals.push_back(std::move(arrival));
@@ -176,7 +173,7 @@
 }
 
 // The default mix plus one team that requests the given share of the capacity.
-void BesideTeam(Pattern& aPattern, LoadOptions aLoad, double aTeamLoad)
+void HotTeam(Pattern& aPattern, LoadOptions aLoad, double aTeamLoad)
 {
   aLoad.load_ = 0.6;
   aPattern.arrivals_ = Mix(aLoad);
@@ -298,7 +295,7 @@
     case 'b':
       // One team's fair share is a tenth of the load; the hot team submits
       // eight times that.
-      BesideTeam(pattern, load, aName == "b" ? 0.8 : 0.1);
+      HotTeam(pattern, load, aName == "b" ? 0.8 : 0.1);
       break;
     case 'c':
       HotPrefix(pattern, load);
--- a/bench/gooseberrylift-bench-load.h
+++ b/bench/gooseberrylift-bench-load.h
@@ -36,8 +36,8 @@
 std::vector<Arrival> Stream(const LoadOptions& aOptions,
                             double aRate,
                             ServiceClass aClass,
-                            std::uint64_t aLeast,
-                            std::uint64_t aMost,
+                            std::uint64_t aMin,
+                            std::uint64_t aMax,
                             const std::string& aTeam = {});
 
 // A load pattern with its arrivals, fleet and scheduled faults.
@@ -45,8 +45,7 @@
 {
   std::string name_;
   std::vector<Arrival> arrivals_;
-  std::function<void(Fleet&)>
-    changes_; // schedules faults during the run; may be empty
+  std::function<void(Fleet&)> changes_; // schedules faults; may be empty
   FleetOptions fleet_;
 };
 
--- a/bench/gooseberrylift-bench-report.cc
+++ b/bench/gooseberrylift-bench-report.cc
@@ -52,10 +52,10 @@
   return values[rank];
 }
 
-Selects Length(std::uint64_t aLeast, std::uint64_t aMost)
+Selects Length(std::uint64_t aMin, std::uint64_t aMax)
 {
-  return [aLeast, aMost](const Record& aRecord) {
-    return aRecord.promptTokens_ >= aLeast && aRecord.promptTokens_ <= aMost;
+  return [aMin, aMax](const Record& aRecord) {
+    return aRecord.promptTokens_ >= aMin && aRecord.promptTokens_ <= aMax;
   };
 }
 
--- a/bench/gooseberrylift-bench-report.h
+++ b/bench/gooseberrylift-bench-report.h
@@ -48,7 +48,7 @@
                     const Selects& aSelects);
 
 /// Selects prompts by length; both bounds are inclusive.
-Selects Length(std::uint64_t aLeast, std::uint64_t aMost);
+Selects Length(std::uint64_t aMin, std::uint64_t aMax);
 
 /// Runs a pattern with a placement strategy.
 /// @param aStrategy a placement name; the prefix "fcfs-" hides the service
--- a/bench/gooseberrylift-cost-bench.cc
+++ b/bench/gooseberrylift-cost-bench.cc
@@ -142,7 +142,7 @@
 }
 
 // Returns the CPU time that a process has used, in microseconds.
-double CpuOf(int aProcess)
+double CpuTimeOf(int aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/stat");
   std::string text((std::istreambuf_iterator<char>(file)), {});
@@ -162,7 +162,7 @@
   std::vector<Samples> parts(kCallers);
   std::vector<std::thread> callers;
   callers.reserve(kCallers);
-  const double cpuBefore = CpuOf(aHost.Handle().Pid());
+  const double cpuBefore = CpuTimeOf(aHost.Handle().Pid());
   const TimePoint end = TimerService::Now() + aDuration;
   for (Samples& part : parts) {
     callers.emplace_back([&] { part = RunCaller(aCase, aHost.Port(), end); });
@@ -170,7 +170,7 @@
   for (std::thread& caller : callers) {
     caller.join();
   }
-  const double cpu = CpuOf(aHost.Handle().Pid()) - cpuBefore;
+  const double cpu = CpuTimeOf(aHost.Handle().Pid()) - cpuBefore;
   Samples all;
   for (const Samples& part : parts) {
     all.direct_.insert(
--- a/bench/gooseberrylift-decision-slopes.cc
+++ b/bench/gooseberrylift-decision-slopes.cc
@@ -16,10 +16,12 @@
 constexpr int kDefaultEngines = 25;
 
 // A scheduler with a given number of engines and queued requests.
-class Loaded
+class LoadedScheduler
 {
 public:
-  Loaded(std::int64_t aEngines, std::int64_t aWaiting, std::int64_t aTeams)
+  LoadedScheduler(std::int64_t aEngines,
+                  std::int64_t aWaiting,
+                  std::int64_t aTeams)
     : teams_(aTeams)
     , scheduler_({ .maxConcurrency_ = 64 })
   {
@@ -32,7 +34,7 @@
     // Fills all engine slots first, so that further requests are queued.
     while (scheduler_.Waiting() < static_cast<std::size_t>(aWaiting)) {
       scheduler_.OnRequest(Next(), now_);
-      Keep();
+      CollectPlaced();
     }
   }
 
@@ -49,11 +51,11 @@
   }
 
   // One request arrives and is placed or queued, and one running request ends.
-  void Turn()
+  void RunCycle()
   {
     now_ += milliseconds(1);
     scheduler_.OnRequest(Next(), now_);
-    Keep();
+    CollectPlaced();
     if (running_.empty()) {
       return;
     }
@@ -62,20 +64,20 @@
     running_.pop_back();
     scheduler_.OnFirstToken(id, now_);
     scheduler_.OnFinished(id, { .succeeded_ = true }, now_);
-    Keep();
+    CollectPlaced();
   }
 
   void Tick()
   {
     now_ += milliseconds(1);
     scheduler_.OnTick(now_);
-    Keep();
+    CollectPlaced();
   }
 
   void Refresh() { scheduler_.SetEndpoints(views_, now_); }
 
 private:
-  void Keep()
+  void CollectPlaced()
   {
     for (const SchedulerAction& action : scheduler_.TakeActions()) {
       if (!action.endpoint_.empty()) {
@@ -95,25 +97,25 @@
 
 void PlaceByEngines(benchmark::State& aState)
 {
-  Loaded loaded(aState.range(0), 0, 10);
+  LoadedScheduler loaded(aState.range(0), 0, 10);
   for (auto _ : aState) {
-    loaded.Turn();
+    loaded.RunCycle();
   }
 }
 BENCHMARK(PlaceByEngines)->Arg(25)->Arg(100)->Arg(1000)->Arg(10'000);
 
 void DecideByQueue(benchmark::State& aState)
 {
-  Loaded loaded(kDefaultEngines, aState.range(0), 10);
+  LoadedScheduler loaded(kDefaultEngines, aState.range(0), 10);
   for (auto _ : aState) {
-    loaded.Turn();
+    loaded.RunCycle();
   }
 }
 BENCHMARK(DecideByQueue)->Arg(10)->Arg(1000)->Arg(100'000);
 
 void TickByQueue(benchmark::State& aState)
 {
-  Loaded loaded(kDefaultEngines, aState.range(0), 10);
+  LoadedScheduler loaded(kDefaultEngines, aState.range(0), 10);
   for (auto _ : aState) {
     loaded.Tick();
   }
@@ -122,16 +124,16 @@
 
 void DecideByTeams(benchmark::State& aState)
 {
-  Loaded loaded(kDefaultEngines, 10'000, aState.range(0));
+  LoadedScheduler loaded(kDefaultEngines, 10'000, aState.range(0));
   for (auto _ : aState) {
-    loaded.Turn();
+    loaded.RunCycle();
   }
 }
 BENCHMARK(DecideByTeams)->Arg(10)->Arg(400)->Arg(4000);
 
 void RefreshByEngines(benchmark::State& aState)
 {
-  Loaded loaded(aState.range(0), 0, 10);
+  LoadedScheduler loaded(aState.range(0), 0, 10);
   for (auto _ : aState) {
     loaded.Refresh();
   }
--- a/bench/gooseberrylift-pass-bench-main.cc
+++ b/bench/gooseberrylift-pass-bench-main.cc
@@ -31,8 +31,8 @@
   aSum.firstP99Ms_ += aOne.firstP99Ms_;
   aSum.repeats_ += aOne.repeats_;
   aSum.refused_ += aOne.refused_;
-  aSum.turnedAway_ += aOne.turnedAway_;
-  aSum.noMemory_ += aOne.noMemory_;
+  aSum.engineRejections_ += aOne.engineRejections_;
+  aSum.failedReservations_ += aOne.failedReservations_;
   aSum.largestAsked_ += aOne.largestAsked_;
   aSum.largestServed_ += aOne.largestServed_;
 }
@@ -48,8 +48,8 @@
            { "first_p50_ms", aResult.firstP50Ms_ / aSeeds },
            { "first_p99_ms", aResult.firstP99Ms_ / aSeeds },
            { "repeats", aResult.repeats_ },
-           { "turned_away", aResult.turnedAway_ },
-           { "no_memory", aResult.noMemory_ },
+           { "turned_away", aResult.engineRejections_ },
+           { "no_memory", aResult.failedReservations_ },
            { "largest_served",
              1.0 * aResult.largestServed_ /
                std::max(aResult.largestAsked_, 1) } };
@@ -82,8 +82,8 @@
                 sum.firstP99Ms_ / aSeeds,
                 sum.repeats_,
                 100.0 * sum.largestServed_ / std::max(sum.largestAsked_, 1),
-                sum.turnedAway_,
-                sum.noMemory_);
+                sum.engineRejections_,
+                sum.failedReservations_);
   }
   if (!aJson) {
     std::printf("all      worth %.3f\n", worth / owed);
@@ -126,9 +126,10 @@
   app.add_option("--block", options.block_, "engines in a block");
   app.add_option("--round-ms", round, "between words of load");
   app.add_option("--partners", options.partners_, "hosts told a round");
-  app.add_option("--tells", options.tells_, "tell long prompts at once");
   app.add_option(
-    "--tells-short", options.tellsShort_, "the same of short ones");
+    "--tells", options.announcesLong_, "tell long prompts at once");
+  app.add_option(
+    "--tells-short", options.announcesShort_, "the same of short ones");
   const std::map<std::string, PassFar> fars = { { "all", PassFar::kAll },
                                                 { "sample", PassFar::kSample },
                                                 { "sums", PassFar::kSums },
@@ -186,7 +187,7 @@
                options.bounded_,
                "engines run out of memory, queue and parts");
   app.add_option("--word-delay-ms", wordDelay, "mean over hosts");
-  app.add_option("--word-loss", options.wordLoss_, "part of words lost");
+  app.add_option("--word-loss", options.messageLoss_, "part of words lost");
   app.add_flag("--json", json, "a JSON object a line");
   CLI11_PARSE(app, aCount, aArguments);
   options.round_ = std::chrono::milliseconds(round);
@@ -197,7 +198,7 @@
   options.hold_.allowedWait_ = std::chrono::milliseconds(holdWait);
   options.placement_.otherGapPenalty_ = std::chrono::milliseconds(harmOther);
   options.sums_ = std::chrono::milliseconds(betweenSums);
-  options.wordDelay_ = std::chrono::milliseconds(wordDelay);
+  options.messageDelay_ = std::chrono::milliseconds(wordDelay);
   options.whole_ = std::chrono::milliseconds(whole);
   PassSite played = SiteByName(site);
   played.hosts_ = hosts > 0 ? hosts : played.hosts_;
@@ -213,8 +214,7 @@
     PassLimitCount count;
     const std::vector<PassResult> results = PlayPasses(played, options, &count);
     limited.sent_ += count.sent_;
-    limited.mostInWindow_ =
-      std::max(limited.mostInWindow_, count.mostInWindow_);
+    limited.maxInWindow_ = std::max(limited.maxInWindow_, count.maxInWindow_);
     for (std::size_t kind = 0; kind < sums.size(); ++kind) {
       Add(sums[kind], results[kind]);
     }
@@ -224,7 +224,7 @@
     std::printf(
       "limited  sent %zu, most at one engine in 4 s %zu, allowed %.0f\n",
       limited.sent_ / static_cast<std::size_t>(seeds),
-      limited.mostInWindow_,
+      limited.maxInWindow_,
       std::floor(1.5 * options.limits_.perSecond_ * 4 + 5));
   }
   return 0;
--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -56,12 +56,12 @@
   const PlacementRequest wanted{ .promptTokens_ = aRequest->prompt_,
                                  .answerTokens_ = static_cast<std::uint64_t>(
                                    aRequest->events_ *
-                                   site_.figures_.stepsPerPass_),
+                                   site_.profile_.stepsPerPass_),
                                  .objective_ = kind.objective_,
                                  .maxGap_ = kind.maxGap_,
                                  .draw_ = random_() };
   if (options_.strategy_ == PassStrategy::kPlaced) {
-    return placement_.Choose(site_.figures_, gaps, candidates, wanted);
+    return placement_.Choose(site_.profile_, gaps, candidates, wanted);
   }
   const PlacementCandidate* best =
     &candidates[aHost.next_++ % candidates.size()];
@@ -74,19 +74,19 @@
   }
   return PlacementChoice{ .endpoint_ = best->endpoint_,
                           .cost_ = { .memoryTokens_ = aRequest->prompt_,
-                                     .prefill_ = site_.figures_.PrefillTime(
+                                     .prefill_ = site_.profile_.PrefillTime(
                                        aRequest->prompt_) } };
 }
 
-HoldDecision PassPlayer::Judge(const PassRequestPtr& aRequest,
-                               const PlacementChoice& aChoice) const
+HoldDecision PassPlayer::DecideHold(const PassRequestPtr& aRequest,
+                                    const PlacementChoice& aChoice) const
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
-  const milliseconds held((clock_.Now() - aRequest->came_) / 1000);
+  const milliseconds held((clock_.Now() - aRequest->lastArrival_) / 1000);
   const HoldInput question{ .wait_ = aChoice.wait_,
                             .prefill_ =
-                              site_.figures_.PrefillTime(aRequest->prompt_),
+                              site_.profile_.PrefillTime(aRequest->prompt_),
                             .partialPrefill_ = aChoice.cost_.prefill_,
                             .sinceArrival_ = held,
                             .remaining_ = kind.deadline_ - waited,
@@ -98,12 +98,12 @@
 
 // Sends a request that can't be served in time back to its caller, which
 // retries once.
-bool PassPlayer::MustRefuse(const PassRequestPtr& aRequest,
-                            const PlacementChoice& aChoice)
+bool PassPlayer::RefuseIfLate(const PassRequestPtr& aRequest,
+                              const PlacementChoice& aChoice)
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
-  const milliseconds held((clock_.Now() - aRequest->came_) / 1000);
+  const milliseconds held((clock_.Now() - aRequest->lastArrival_) / 1000);
   const auto wait = RetryDelayIfRefused(
     { .predicted_ = aChoice.firstAnswer_,
       .remaining_ = kind.deadline_ - waited,
@@ -113,11 +113,11 @@
   if (!wait) {
     return false;
   }
-  SendBack(aRequest, *wait);
+  ReturnToCaller(aRequest, *wait);
   return true;
 }
 
-milliseconds PassPlayer::LatestReturn(const PassRequest& aRequest) const
+milliseconds PassPlayer::LatestRetryDelay(const PassRequest& aRequest) const
 {
   const PassClass& kind = site_.classes_[aRequest.class_];
   const milliseconds waited((clock_.Now() - aRequest.arrived_) / 1000);
@@ -125,7 +125,8 @@
 }
 
 // The caller retries once.
-void PassPlayer::SendBack(const PassRequestPtr& aRequest, milliseconds aWait)
+void PassPlayer::ReturnToCaller(const PassRequestPtr& aRequest,
+                                milliseconds aWait)
 {
   ++results_[aRequest->class_].refused_;
   if (aRequest->refused_) {
@@ -136,7 +137,7 @@
   aRequest->host_ = random_() % hosts_.size();
   clock_.After(aWait.count() * 1000, [this, aRequest] {
     if (!aRequest->done_) {
-      aRequest->came_ = clock_.Now();
+      aRequest->lastArrival_ = clock_.Now();
       Send(aRequest);
     }
   });
@@ -153,10 +154,10 @@
     return;
   }
   const HoldDecision verdict = options_.holds_ && choice->slowsDecoding_
-                                 ? Judge(aRequest, *choice)
+                                 ? DecideHold(aRequest, *choice)
                                  : HoldDecision::kSend;
   if (verdict == HoldDecision::kReject) {
-    SendBack(aRequest, LatestReturn(*aRequest));
+    ReturnToCaller(aRequest, LatestRetryDelay(*aRequest));
     return;
   }
   if (verdict == HoldDecision::kHold) {
@@ -169,7 +170,7 @@
     return;
   }
   const bool placed = options_.strategy_ == PassStrategy::kPlaced;
-  if (placed && aRequest->sends_ == 0 && MustRefuse(aRequest, *choice)) {
+  if (placed && aRequest->attempts_ == 0 && RefuseIfLate(aRequest, *choice)) {
     return;
   }
   const TimePoint now = At(clock_);
@@ -181,81 +182,82 @@
     aRequest->helpers_.push_back(helper->id_);
   }
   const bool isLong = choice->cost_.prefill_ > milliseconds(100);
-  if (isLong ? options_.tells_ : options_.tellsShort_) {
-    TellPlaced(aRequest->host_, *choice);
+  if (isLong ? options_.announcesLong_ : options_.announcesShort_) {
+    AnnouncePlacement(aRequest->host_, *choice);
   }
   aRequest->deferred_ = choice->deferred_;
   aRequest->held_.assign(choice->helpers_.size(), choice->reservedTokens_);
-  TakeMemory(aRequest, 0);
+  ReserveMemory(aRequest, 0);
 }
 
-EndpointActivity PassPlayer::SignsOf(const PassRequestPtr& aRequest) const
+EndpointActivity PassPlayer::ActivityOf(const PassRequestPtr& aRequest) const
 {
   const PassHost& host = hosts_[aRequest->host_];
   const EndpointLoad load = host.load_.Of(aRequest->engine_, At(clock_));
-  const std::int64_t heard = std::max(aRequest->sent_, aRequest->heard_);
+  const std::int64_t heard = std::max(aRequest->sent_, aRequest->lastEvent_);
   return { .requestSilence_ = milliseconds((clock_.Now() - heard) / 1000),
            .hostSilence_ = host.load_.SilentFor(aRequest->engine_, At(clock_)),
            .peerSilence_ =
              host.load_.ShortestPeerSilence(aRequest->engine_, At(clock_)),
-           .begun_ = aRequest->heard_ > aRequest->sent_,
+           .begun_ = aRequest->lastEvent_ > aRequest->sent_,
            .overtaken_ =
              host.load_.IsOvertaken(aRequest->engine_, aRequest->id_),
            .backlog_ = duration_cast<milliseconds>(load.backlog_),
            .running_ = load.running_,
-           .slots_ = site_.figures_.slots_ };
+           .slots_ = site_.profile_.slots_ };
 }
 
 // Retries the request on another engine, or abandons it as its caller does, if
 // no event arrived within the timeout.
-void PassPlayer::Watch(const PassRequestPtr& aRequest,
-                       std::int64_t aSince,
-                       microseconds aWait)
+void PassPlayer::WatchForStall(const PassRequestPtr& aRequest,
+                               std::int64_t aSince,
+                               microseconds aWait)
 {
   const auto job = aRequest->job_;
   clock_.After(aWait.count(), [this, aRequest, aSince, job] {
-    if (aRequest->done_ || aRequest->heard_ != aSince ||
+    if (aRequest->done_ || aRequest->lastEvent_ != aSince ||
         aRequest->job_ != job) {
       return;
     }
     PassHost& host = hosts_[aRequest->host_];
     if (options_.knowsQueues_ &&
-        !IsRequestStalled(SignsOf(aRequest),
+        !IsRequestStalled(ActivityOf(aRequest),
                           EndpointStallTimeout(RouteOf(aRequest->class_)))) {
       constexpr milliseconds kLookAgain{ 250 };
-      Watch(aRequest, aSince, kLookAgain);
+      WatchForStall(aRequest, aSince, kLookAgain);
       return;
     }
-    if (aRequest->sends_ < kMostSends &&
+    if (aRequest->attempts_ < kMaxAttempts &&
         host.repeats_.TryRetry("engines", hosts_.size(), At(clock_))) {
       ++results_[aRequest->class_].repeats_;
-      Leave(aRequest);
+      CancelAttempt(aRequest);
       aRequest->tried_.insert(aRequest->engine_);
       Send(aRequest);
     }
   });
   const milliseconds patience = CallerStallTimeout(RouteOf(aRequest->class_));
   // Before the first event the time counts from the request's last arrival.
-  const std::int64_t waited = aSince < 0 ? clock_.Now() - aRequest->came_ : 0;
+  const std::int64_t waited =
+    aSince < 0 ? clock_.Now() - aRequest->lastArrival_ : 0;
   clock_.After(patience.count() * 1000 - waited, [this, aRequest, aSince] {
-    if (aRequest->heard_ == aSince) {
+    if (aRequest->lastEvent_ == aSince) {
       End(aRequest, false);
     }
   });
 }
 
-void PassPlayer::Leave(const PassRequestPtr& aRequest)
+void PassPlayer::CancelAttempt(const PassRequestPtr& aRequest)
 {
   PassHost& host = hosts_[aRequest->host_];
   if (aRequest->job_) {
     aRequest->job_->cancelled_ = true;
   }
-  for (const std::string& engine : aRequest->tickets_) {
-    clock_.After(kHop, [this, engine, id = aRequest->id_] {
+  for (const std::string& engine : aRequest->reservations_) {
+    clock_.After(kNetworkDelay, [this, engine, id = aRequest->id_] {
       EngineOf(engine).Release(id);
     });
   }
-  aRequest->tickets_.clear();
+  aRequest->reservations_.clear();
   host.load_.OnEnded(aRequest->engine_, aRequest->id_);
   for (const auto& part : aRequest->parts_) {
     part->cancelled_ = true;
@@ -274,22 +276,22 @@
   const PassClass& kind = site_.classes_[aRequest->class_];
   PassHost& host = hosts_[aRequest->host_];
   const std::int64_t now = clock_.Now();
-  if (aRequest->heard_ < 0) {
+  if (aRequest->lastEvent_ < 0) {
     aRequest->firstMs_ = static_cast<double>(now - aRequest->arrived_) / 1000;
-  } else if (now - aRequest->heard_ > kind.maxGap_.count() * 1000) {
+  } else if (now - aRequest->lastEvent_ > kind.maxGap_.count() * 1000) {
     aRequest->gap_ = true;
   }
   host.load_.OnStarted(aRequest->engine_, aRequest->id_, At(clock_));
   for (const std::string& helper : aRequest->helpers_) {
     host.load_.OnEnded(helper, aRequest->id_);
   }
-  aRequest->heard_ = now;
-  ++aRequest->got_;
-  if (aRequest->got_ >= aRequest->events_) {
+  aRequest->lastEvent_ = now;
+  ++aRequest->eventsReceived_;
+  if (aRequest->eventsReceived_ >= aRequest->events_) {
     End(aRequest, true);
     return;
   }
-  Watch(aRequest, now, EndpointStallTimeout(RouteOf(aRequest->class_)));
+  WatchForStall(aRequest, now, EndpointStallTimeout(RouteOf(aRequest->class_)));
 }
 
 void PassPlayer::End(const PassRequestPtr& aRequest, bool aServed)
@@ -299,7 +301,7 @@
   }
   aRequest->done_ = true;
   if (!aRequest->engine_.empty()) {
-    Leave(aRequest);
+    CancelAttempt(aRequest);
   }
   const PassClass& kind = site_.classes_[aRequest->class_];
   PassResult& result = results_[aRequest->class_];
@@ -334,7 +336,7 @@
       return;
     }
     clock_.After(
-      kHop + hosts_[aFrom].wordDelay_,
+      kNetworkDelay + hosts_[aFrom].messageDelay_,
       [this, aFrom, aTo, shares = hosts_[aFrom].load_.OwnShares(At(clock_))] {
         hosts_[aTo].load_.OnPeerSnapshot(
           hosts_[aFrom].name_, shares, At(clock_));
@@ -345,7 +347,8 @@
 }
 
 // Announces a host's load on the engines of a new placement to other hosts.
-void PassPlayer::TellPlaced(std::size_t aHost, const PlacementChoice& aChoice)
+void PassPlayer::AnnouncePlacement(std::size_t aHost,
+                                   const PlacementChoice& aChoice)
 {
   const FleetLoad& load = hosts_[aHost].load_;
   std::vector<EndpointShare> shares = { load.OwnShare(aChoice.endpoint_->id_,
@@ -354,20 +357,22 @@
     shares.push_back(load.OwnShare(helper->id_, At(clock_)));
   }
   if (options_.far_ == PassFar::kSums && aChoice.slowsDecoding_) {
-    clock_.After(kHop,
-                 [this, zone = hosts_[aHost].zone_] { TellChanges(zone); });
+    clock_.After(kNetworkDelay, [this, zone = hosts_[aHost].zone_] {
+      SendAggregateChanges(zone);
+    });
   }
   if (IsLost()) {
     return;
   }
-  clock_.After(kHop + hosts_[aHost].wordDelay_, [this, aHost, shares] {
-    for (std::size_t other = 0; other < hosts_.size(); ++other) {
-      if (Hears(other, aHost)) {
-        hosts_[other].load_.OnPeerDelta(
-          hosts_[aHost].name_, shares, At(clock_));
-      }
-    }
-  });
+  clock_.After(kNetworkDelay + hosts_[aHost].messageDelay_,
+               [this, aHost, shares] {
+                 for (std::size_t other = 0; other < hosts_.size(); ++other) {
+                   if (ReceivesLoadOf(other, aHost)) {
+                     hosts_[other].load_.OnPeerDelta(
+                       hosts_[aHost].name_, shares, At(clock_));
+                   }
+                 }
+               });
 }
 
 void PassPlayer::RunRound(std::size_t aHost)
@@ -381,9 +386,9 @@
 
 std::vector<PassResult> PassPlayer::Play()
 {
-  for (std::size_t zone = 0; zone < sums_.size(); ++zone) {
+  for (std::size_t zone = 0; zone < lastAggregates_.size(); ++zone) {
     if (options_.far_ == PassFar::kSums) {
-      TellSums(zone);
+      SendAggregates(zone);
     }
   }
   for (std::size_t host = 0; host < hosts_.size(); ++host) {
@@ -391,7 +396,7 @@
       const auto first =
         random_() % static_cast<std::uint64_t>(options_.whole_.count() * 1000);
       clock_.After(static_cast<std::int64_t>(first),
-                   [this, host] { TellWhole(host); });
+                   [this, host] { SendSnapshots(host); });
       continue;
     }
     const auto start =
--- a/bench/gooseberrylift-pass-bench.h
+++ b/bench/gooseberrylift-pass-bench.h
@@ -23,7 +23,7 @@
   double perSecond_ = 1;
   double promptMean_ = 1000;
   double promptSpread_ = 0.5; // standard deviation of the logarithm
-  double promptMost_ = 1e6;
+  double maxPrompt_ = 1e6;
   double eventsMean_ = 20;
   double eventsSpread_ = 0.5;
   std::chrono::milliseconds objective_{ 1000 };
@@ -46,7 +46,7 @@
   int hosts_ = 6;
   int zones_ = 1;
   int engines_ = 20;
-  EngineProfile figures_;
+  EngineProfile profile_;
   std::vector<PassClass> classes_;
   std::vector<PassPhase> phases_;
   double seconds_ = 34;
@@ -75,13 +75,11 @@
   std::size_t block_ = FleetOrderOptions{}.block_;
   std::chrono::milliseconds round_{ 40 }; // interval between load messages
   std::size_t partners_ = 4;              // per round
-  bool tells_ = true;      // announces placed long prompts immediately
-  bool tellsShort_ = true; // announces placed short prompts too
+  bool announcesLong_ = true;  // announces placed long prompts immediately
+  bool announcesShort_ = true; // announces placed short prompts too
   PassFar far_ = PassFar::kAll;
-  std::size_t farKnown_ = 64; // sample size for kSample
-  std::chrono::milliseconds sums_{
-    100
-  }; // interval between aggregates for kSums
+  std::size_t remoteSampleSize_ = 64;     // sample size for kSample
+  std::chrono::milliseconds sums_{ 100 }; // their interval, with kSums
   // Interval between a host's messages with its complete load, for fleets where
   // it can't announce each change; zero leaves it to the rounds.
   std::chrono::milliseconds whole_{ 0 };
@@ -95,8 +93,8 @@
   bool bounded_ = false;
   // Mean extra delay of a host's load messages beyond the network delay, and
   // the fraction of messages that is lost.
-  std::chrono::milliseconds wordDelay_{ 0 };
-  double wordLoss_ = 0;
+  std::chrono::milliseconds messageDelay_{ 0 };
+  double messageLoss_ = 0;
   std::uint64_t seed_ = 1;
 };
 
@@ -114,9 +112,9 @@
   double firstP50Ms_ = 0;
   double firstP99Ms_ = 0;
   int repeats_ = 0;
-  int refused_ = 0;    // returned to the caller for a retry
-  int turnedAway_ = 0; // arrivals rejected by an engine
-  int noMemory_ = 0;   // failed memory reservations
+  int refused_ = 0;            // returned to the caller for a retry
+  int engineRejections_ = 0;   // arrivals rejected by an engine
+  int failedReservations_ = 0; // failed memory reservations
   // Counts for the largest tenth of the prompts.
   int largestAsked_ = 0;
   int largestServed_ = 0;
--- a/bench/gooseberrylift-pass-callers.cc
+++ b/bench/gooseberrylift-pass-callers.cc
@@ -13,7 +13,7 @@
   return { .name_ = kind.name_,
            .kind_ = RouteKind::kStreaming,
            .resumable_ = true,
-           .maxAttempts_ = kMostSends,
+           .maxAttempts_ = kMaxAttempts,
            .timeout_ = kind.deadline_,
            .objective_ = kind.objective_,
            .maxGap_ = kind.maxGap_ };
@@ -31,7 +31,7 @@
 {
   constexpr double kAnswerWeight = 10;
   const PassClass& kind = site_.classes_[aRequest.class_];
-  const double perEvent = site_.figures_.stepsPerPass_;
+  const double perEvent = site_.profile_.stepsPerPass_;
   const double size = static_cast<double>(aRequest.prompt_) +
                       kAnswerWeight * aRequest.events_ * perEvent;
   const double usual =
@@ -54,10 +54,10 @@
   const double seconds = static_cast<double>(clock_.Now()) / 1e6;
   // Thins a Poisson process of the highest rate, so that phase boundaries are
   // exact.
-  constexpr double kMostFactor = 4;
-  const double rate = site_.classes_[aClass].perSecond_ * kMostFactor;
+  constexpr double kMaxFactor = 4;
+  const double rate = site_.classes_[aClass].perSecond_ * kMaxFactor;
   std::exponential_distribution<double> pause(rate);
-  std::uniform_real_distribution<double> draw(0, kMostFactor);
+  std::uniform_real_distribution<double> draw(0, kMaxFactor);
   const auto wait = static_cast<std::int64_t>(pause(arrivals_) * 1e6);
   if (seconds > site_.seconds_) {
     return;
@@ -74,21 +74,21 @@
 void PassPlayer::Arrive(std::size_t aClass)
 {
   const PassClass& kind = site_.classes_[aClass];
-  const auto draw = [this](double aMean, double aSpread, double aMost) {
+  const auto draw = [this](double aMean, double aSpread, double aMax) {
     std::lognormal_distribution<double> size(
       std::log(aMean) - aSpread * aSpread / 2, aSpread);
-    return std::clamp(size(arrivals_), 1.0, aMost);
+    return std::clamp(size(arrivals_), 1.0, aMax);
   };
   auto request = std::make_shared<PassRequest>();
   request->id_ = nextId_++;
   request->class_ = aClass;
   request->host_ = arrivals_() % hosts_.size();
   request->prompt_ = static_cast<std::uint64_t>(
-    draw(kind.promptMean_, kind.promptSpread_, kind.promptMost_));
+    draw(kind.promptMean_, kind.promptSpread_, kind.maxPrompt_));
   request->events_ = static_cast<int>(
     draw(kind.eventsMean_, kind.eventsSpread_, kind.eventsMean_ * 2.5));
   request->arrived_ = clock_.Now();
-  request->came_ = clock_.Now();
+  request->lastArrival_ = clock_.Now();
   ++results_[aClass].asked_;
   results_[aClass].owed_ += WorthOf(*request) * kind.worth_;
   hosts_[request->host_].repeats_.OnRequest("engines", At(clock_));
--- a/bench/gooseberrylift-pass-engine.cc
+++ b/bench/gooseberrylift-pass-engine.cc
@@ -25,53 +25,52 @@
 }
 
 PassEngine::PassEngine(VirtualClock& aClock,
-                       EngineProfile aFigures,
+                       EngineProfile aProfile,
                        bool aBounded)
   : clock_(aClock)
-  , figures_(aFigures)
-  , bounded_(aBounded && aFigures.memoryTokens_ > 0)
+  , profile_(aProfile)
+  , bounded_(aBounded && aProfile.memoryTokens_ > 0)
 {
 }
 
 std::uint64_t PassEngine::MemoryUsed() const
 {
   std::uint64_t used = 0;
-  for (const auto& [request, tokens] : tickets_) {
+  for (const auto& [request, tokens] : reservations_) {
     used += tokens;
   }
   for (const auto& job : jobs_) {
-    used += job->cancelled_ ? 0 : job->memoryTokens_ + job->grown_;
+    used += job->cancelled_ ? 0 : job->memoryTokens_ + job->generatedTokens_;
   }
   return used;
 }
 
 bool PassEngine::Reserve(std::uint64_t aRequest, std::uint64_t aTokens)
 {
-  if (bounded_ && MemoryUsed() + aTokens > figures_.memoryTokens_) {
+  if (bounded_ && MemoryUsed() + aTokens > profile_.memoryTokens_) {
     return false;
   }
-  tickets_[aRequest] = aTokens;
+  reservations_[aRequest] = aTokens;
   return true;
 }
 
 void PassEngine::Release(std::uint64_t aRequest)
 {
-  tickets_.erase(aRequest);
+  reservations_.erase(aRequest);
   Wake();
 }
 
 // Returns whether a job is rejected: an engine queues at most twice as many
-// requests as it has slots, and accepts as many
-// helper parts as it has slots.
+// requests as it has slots, and accepts as many helper parts as it has slots.
 bool PassEngine::IsFull(const PassJob& aJob) const
 {
-  const auto slots = static_cast<std::ptrdiff_t>(figures_.slots_);
+  const auto slots = static_cast<std::ptrdiff_t>(profile_.slots_);
   if (aJob.isPart_) {
     return std::count_if(jobs_.begin(), jobs_.end(), [](const auto& aOther) {
              return aOther->isPart_ && !aOther->cancelled_;
            }) >= slots;
   }
-  return aJob.memoryTokens_ > figures_.memoryTokens_ ||
+  return aJob.memoryTokens_ > profile_.memoryTokens_ ||
          static_cast<std::ptrdiff_t>(queue_.size()) >= 2 * slots;
 }
 
@@ -101,27 +100,27 @@
   }
 }
 
-bool PassEngine::IsWriter(const PassJob& aJob) const
+bool PassEngine::IsDecoding(const PassJob& aJob) const
 {
-  return !aJob.isPart_ && aJob.readDone_ >= 1 && aJob.partsPending_ == 0;
+  return !aJob.isPart_ && aJob.prefillDone_ >= 1 && aJob.partsPending_ == 0;
 }
 
 // Distributes the prefill budget of a pass: parts of spread prompts first, then
 // other prompts in order of arrival. Returns the time needed.
-double PassEngine::PlanReads(double aSteps)
+double PassEngine::PlanPrefill(double aSteps)
 {
-  double tokens = aSteps * static_cast<double>(figures_.prefillTokensPerStep_);
+  double tokens = aSteps * static_cast<double>(profile_.prefillTokensPerStep_);
   double ms = 0;
   for (const bool spread : { true, false }) {
     for (const auto& job : jobs_) {
-      if (job->spread_ != spread || job->readDone_ >= 1 || tokens <= 0) {
+      if (job->spread_ != spread || job->prefillDone_ >= 1 || tokens <= 0) {
         continue;
       }
       const auto all = static_cast<double>(job->promptTokens_);
-      const double share = std::min(1 - job->readDone_, tokens / all);
+      const double share = std::min(1 - job->prefillDone_, tokens / all);
       tokens -= share * all;
-      ms += share * job->readMs_;
-      job->readDone_ += share + 1e-9;
+      ms += share * job->prefillMs_;
+      job->prefillDone_ += share + 1e-9;
     }
   }
   return ms;
@@ -136,8 +135,8 @@
     });
   const std::shared_ptr<PassJob> job = *newest;
   jobs_.erase(std::next(newest).base());
-  job->readDone_ = 0;
-  job->writing_ = false;
+  job->prefillDone_ = 0;
+  job->decoding_ = false;
   queue_.push_front(job);
   ++preempted_;
 }
@@ -149,15 +148,16 @@
   auto taken = std::count_if(jobs_.begin(), jobs_.end(), [](const auto& aJob) {
     return !aJob->isPart_;
   });
-  while (bounded_ && MemoryUsed() > figures_.memoryTokens_ && taken > 1) {
+  while (bounded_ && MemoryUsed() > profile_.memoryTokens_ && taken > 1) {
     PreemptNewest();
     --taken;
   }
-  while (!queue_.empty() && taken < figures_.slots_) {
+  while (!queue_.empty() && taken < profile_.slots_) {
     const PassJob& next = *queue_.front();
     const bool fits =
-      MemoryUsed() + next.memoryTokens_ + next.grown_ <= figures_.memoryTokens_;
-    if (bounded_ && !fits && (taken > 0 || !tickets_.empty())) {
+      MemoryUsed() + next.memoryTokens_ + next.generatedTokens_ <=
+      profile_.memoryTokens_;
+    if (bounded_ && !fits && (taken > 0 || !reservations_.empty())) {
       break;
     }
     jobs_.push_back(queue_.front());
@@ -168,20 +168,20 @@
   std::uint64_t context = 0;
   bool reading = false;
   for (const auto& job : jobs_) {
-    job->writing_ = IsWriter(*job);
-    writers += job->writing_ ? 1 : 0;
-    context += job->writing_ ? job->promptTokens_ : 0;
-    reading = reading || job->readDone_ < 1;
+    job->decoding_ = IsDecoding(*job);
+    writers += job->decoding_ ? 1 : 0;
+    context += job->decoding_ ? job->promptTokens_ : 0;
+    reading = reading || job->prefillDone_ < 1;
   }
   if (writers == 0 && !reading) {
     return;
   }
   busy_ = true;
-  const double steps = writers > 0 ? figures_.stepsPerPass_ : 1;
+  const double steps = writers > 0 ? profile_.stepsPerPass_ : 1;
   const auto pass =
-    static_cast<double>(figures_.PassTime(writers, context).count()) / 1000 *
-    steps / figures_.stepsPerPass_;
-  const double ms = pass + PlanReads(steps);
+    static_cast<double>(profile_.PassTime(writers, context).count()) / 1000 *
+    steps / profile_.stepsPerPass_;
+  const double ms = pass + PlanPrefill(steps);
   clock_.After(static_cast<std::int64_t>(ms * 1000), [this] { EndPass(); });
 }
 
@@ -190,15 +190,16 @@
   busy_ = false;
   const auto jobs = jobs_; // a copy, as callbacks may add jobs
   for (const auto& job : jobs) {
-    if (job->cancelled_ || job->readDone_ < 1) {
+    if (job->cancelled_ || job->prefillDone_ < 1) {
       continue;
     }
     if (job->isPart_) {
       job->cancelled_ = true;
-      job->onRead_();
+      job->onPrefilled_();
     } else if (job->partsPending_ == 0) {
       --job->events_;
-      job->grown_ += static_cast<std::uint64_t>(figures_.stepsPerPass_);
+      job->generatedTokens_ +=
+        static_cast<std::uint64_t>(profile_.stepsPerPass_);
       job->cancelled_ = job->events_ <= 0;
       job->onEvent_();
     }
--- a/bench/gooseberrylift-pass-engine.h
+++ b/bench/gooseberrylift-pass-engine.h
@@ -58,29 +58,29 @@
 struct PassJob
 {
   std::uint64_t promptTokens_ = 0; // of its part
-  double readMs_ = 0;              // of its part
+  double prefillMs_ = 0;           // of its part
   bool isPart_ = false;            // ends when its prefill is complete
   bool spread_ = false;            // several engines share its prefill
   int events_ = 0;                 // left to generate
   int partsPending_ = 0;           // unfinished on other engines
   bool cancelled_ = false;
-  int urgency_ = 0;                 // the lowest value gets a slot first
-  std::function<void()> onEvent_;   // called for each output event
-  std::function<void()> onRead_;    // called when a part is prefilled
-  std::function<void()> onRefused_; // called if a bounded engine rejects it
+  int urgency_ = 0;                   // the lowest value gets a slot first
+  std::function<void()> onEvent_;     // called for each output event
+  std::function<void()> onPrefilled_; // called when a part is prefilled
+  std::function<void()> onRefused_;   // called if a bounded engine rejects it
   // Memory of a bounded engine used by the prompt, without reservations.
   std::uint64_t memoryTokens_ = 0;
   // Progress, updated by the engine.
-  double readDone_ = 0; // completed fraction of its part
-  bool writing_ = false;
-  std::uint64_t grown_ = 0; // generated tokens
+  double prefillDone_ = 0; // completed fraction of its part
+  bool decoding_ = false;
+  std::uint64_t generatedTokens_ = 0;
 };
 
 class PassEngine
 {
 public:
   /// @param aBounded whether the engine rejects and preempts when it is full
-  PassEngine(VirtualClock& aClock, EngineProfile aFigures, bool aBounded);
+  PassEngine(VirtualClock& aClock, EngineProfile aProfile, bool aBounded);
 
   void Add(std::shared_ptr<PassJob> aJob);
 
@@ -100,18 +100,19 @@
 private:
   void StartPass();
   void EndPass();
-  double PlanReads(double aSteps);
-  bool IsWriter(const PassJob& aJob) const;
+  double PlanPrefill(double aSteps);
+  bool IsDecoding(const PassJob& aJob) const;
   bool IsFull(const PassJob& aJob) const;
   std::uint64_t MemoryUsed() const;
   void PreemptNewest();
 
   VirtualClock& clock_;
-  EngineProfile figures_;
+  EngineProfile profile_;
   bool bounded_;
   bool busy_ = false;
   int preempted_ = 0;
-  std::map<std::uint64_t, std::uint64_t> tickets_; // reserved tokens by request
+  // Reserved tokens by request.
+  std::map<std::uint64_t, std::uint64_t> reservations_;
   std::list<std::shared_ptr<PassJob>> jobs_;  // requests in slots, and parts
   std::list<std::shared_ptr<PassJob>> queue_; // requests waiting for a slot
 };
--- a/bench/gooseberrylift-pass-limits.cc
+++ b/bench/gooseberrylift-pass-limits.cc
@@ -12,7 +12,7 @@
 constexpr std::int64_t kWindow = 4'000'000;
 
 // Delay until all hosts know a limit and their requests are counted.
-constexpr double kKnownAfter = 0.3; // s
+constexpr double kPropagationDelay = 0.3; // s
 
 } // namespace
 
@@ -33,7 +33,8 @@
 bool PassLimits::IsLimited(const std::string& aEngine) const
 {
   const double now = static_cast<double>(clock_.Now()) / 1e6;
-  if (now < options_.fromSeconds_ + kKnownAfter || now > options_.toSeconds_) {
+  if (now < options_.fromSeconds_ + kPropagationDelay ||
+      now > options_.toSeconds_) {
     return false;
   }
   for (int engine = 0; engine < options_.engines_; ++engine) {
@@ -85,7 +86,7 @@
     window.pop_front();
   }
   ++count_.sent_;
-  count_.mostInWindow_ = std::max(count_.mostInWindow_, window.size());
+  count_.maxInWindow_ = std::max(count_.maxInWindow_, window.size());
 }
 
 } // namespace gooseberrylift::bench
--- a/bench/gooseberrylift-pass-limits.h
+++ b/bench/gooseberrylift-pass-limits.h
@@ -36,8 +36,8 @@
 // Requests sent to limited engines while their limits were in force.
 struct PassLimitCount
 {
-  std::size_t sent_ = 0;         // requests, and parts of prompts
-  std::size_t mostInWindow_ = 0; // maximum at one engine within 4 s
+  std::size_t sent_ = 0;        // requests, and parts of prompts
+  std::size_t maxInWindow_ = 0; // maximum at one engine within 4 s
 };
 
 class PassLimits
--- a/bench/gooseberrylift-pass-player.h
+++ b/bench/gooseberrylift-pass-player.h
@@ -19,9 +19,9 @@
 
 namespace gooseberrylift::bench {
 
-constexpr int kMostSends = 2; // maximum number of attempts per request
-constexpr std::int64_t kHop =
-  1'500; // us, one-way delay from a host to an engine or host
+constexpr int kMaxAttempts = 2; // per request
+// One-way delay from a host to an engine or a host, in us.
+constexpr std::int64_t kNetworkDelay = 1'500;
 
 // Converts the virtual time to a time point.
 inline TimePoint At(const VirtualClock& aClock)
@@ -38,24 +38,24 @@
   std::uint64_t prompt_ = 0;
   int events_ = 1;
   std::int64_t arrived_ = 0;
-  std::int64_t came_ = 0;   // last arrival, including retries by the caller
-  std::int64_t sent_ = 0;   // time of the last attempt
-  std::int64_t heard_ = -1; // time of the last event; -1 before the first
+  std::int64_t lastArrival_ = 0; // includes retries by the caller
+  std::int64_t sent_ = 0;        // time of the last attempt
+  std::int64_t lastEvent_ = -1;  // time of the last event; -1 before the first
   double firstMs_ = -1;
-  int got_ = 0;
+  int eventsReceived_ = 0;
   bool gap_ = false; // a gap between events exceeded the maximum
   bool done_ = false;
   bool refused_ = false;  // refused once; the caller retries once
   bool deferred_ = false; // in its last placement
-  int sends_ = 0;
+  int attempts_ = 0;
   std::set<std::string> tried_;
   std::shared_ptr<PassJob> job_;
   std::vector<std::shared_ptr<PassJob>> parts_;
   std::string engine_;
   std::vector<std::string> helpers_;
-  std::vector<std::uint64_t> held_;  // tokens to reserve, by helper
-  std::vector<std::string> tickets_; // engines with a memory reservation for it
-  std::int64_t unsent_ = 0;          // us spent on failed memory reservations
+  std::vector<std::uint64_t> held_;       // tokens to reserve, by helper
+  std::vector<std::string> reservations_; // engines with reserved memory
+  std::int64_t reservationTime_ = 0; // us spent on failed memory reservations
 };
 using PassRequestPtr = std::shared_ptr<PassRequest>;
 
@@ -63,11 +63,12 @@
 {
   std::string name_;
   std::size_t zone_ = 0;
-  std::set<std::size_t> far_; // hosts of other zones that receive its load
+  // Hosts of other zones that receive its load messages.
+  std::set<std::size_t> remoteListeners_;
   FleetLoad load_{ FleetLoad::Options{} };
   FleetRetryBudget repeats_{ FleetRetryBudget::Options{} };
-  std::int64_t wordDelay_ = 0; // us
-  std::size_t next_ = 0;       // next engine for round robin
+  std::int64_t messageDelay_ = 0; // us
+  std::size_t next_ = 0;          // next engine for round robin
 };
 
 class PassPlayer
@@ -83,18 +84,18 @@
   {
     for (int index = 0; index < site_.engines_; ++index) {
       listed_.push_back({ .id_ = "engine-" + std::to_string(index),
-                          .slots_ = site_.figures_.slots_ });
+                          .slots_ = site_.profile_.slots_ });
       engines_.push_back(std::make_unique<PassEngine>(
-        clock_, site_.figures_, options_.bounded_));
+        clock_, site_.profile_, options_.bounded_));
     }
     for (int index = 0; index < site_.hosts_; ++index) {
       hosts_.push_back(
         { .name_ = "host-" + std::to_string(index),
           .zone_ = static_cast<std::size_t>(index % site_.zones_) });
     }
-    ChooseFarHosts();
-    DrawWordDelays();
-    sums_.resize(static_cast<std::size_t>(site_.zones_));
+    ChooseRemoteListeners();
+    DrawMessageDelays();
+    lastAggregates_.resize(static_cast<std::size_t>(site_.zones_));
     results_.resize(site_.classes_.size());
     firsts_.resize(site_.classes_.size());
   }
@@ -107,41 +108,41 @@
   void ScheduleArrivals(std::size_t aClass);
   double FactorAt(std::size_t aClass, double aSeconds) const;
   void Arrive(std::size_t aClass);
-  HoldDecision Judge(const PassRequestPtr& aRequest,
-                     const PlacementChoice& aChoice) const;
-  std::chrono::milliseconds LatestReturn(const PassRequest& aRequest) const;
-  void SendBack(const PassRequestPtr& aRequest,
-                std::chrono::milliseconds aWait);
-  bool MustRefuse(const PassRequestPtr& aRequest,
-                  const PlacementChoice& aChoice);
+  HoldDecision DecideHold(const PassRequestPtr& aRequest,
+                          const PlacementChoice& aChoice) const;
+  std::chrono::milliseconds LatestRetryDelay(const PassRequest& aRequest) const;
+  void ReturnToCaller(const PassRequestPtr& aRequest,
+                      std::chrono::milliseconds aWait);
+  bool RefuseIfLate(const PassRequestPtr& aRequest,
+                    const PlacementChoice& aChoice);
   void Send(const PassRequestPtr& aRequest);
-  void TakeMemory(const PassRequestPtr& aRequest, std::size_t aNext);
+  void ReserveMemory(const PassRequestPtr& aRequest, std::size_t aNext);
   void Launch(const PassRequestPtr& aRequest);
   void OnRefused(const PassRequestPtr& aRequest,
                  const std::shared_ptr<PassJob>& aJob);
-  std::chrono::milliseconds ReturnSoon();
+  std::chrono::milliseconds ShortRetryDelay();
   std::optional<PlacementChoice> Choose(
     PassHost& aHost,
     const PassRequestPtr& aRequest,
     const std::vector<ListedEndpoint>& aAll);
   void OnEvent(const PassRequestPtr& aRequest,
                const std::shared_ptr<PassJob>& aJob);
-  void Watch(const PassRequestPtr& aRequest,
-             std::int64_t aSince,
-             std::chrono::microseconds aWait);
-  EndpointActivity SignsOf(const PassRequestPtr& aRequest) const;
-  void Leave(const PassRequestPtr& aRequest);
+  void WatchForStall(const PassRequestPtr& aRequest,
+                     std::int64_t aSince,
+                     std::chrono::microseconds aWait);
+  EndpointActivity ActivityOf(const PassRequestPtr& aRequest) const;
+  void CancelAttempt(const PassRequestPtr& aRequest);
   void End(const PassRequestPtr& aRequest, bool aServed);
   void Exchange(std::size_t aOne, std::size_t aOther);
   void RunRound(std::size_t aHost);
-  void TellPlaced(std::size_t aHost, const PlacementChoice& aChoice);
-  void ChooseFarHosts();
-  void DrawWordDelays();
+  void AnnouncePlacement(std::size_t aHost, const PlacementChoice& aChoice);
+  void ChooseRemoteListeners();
+  void DrawMessageDelays();
   bool IsLost();
-  bool Hears(std::size_t aHost, std::size_t aOfHost) const;
-  void TellWhole(std::size_t aHost);
-  void TellSums(std::size_t aZone);
-  void TellChanges(std::size_t aZone);
+  bool ReceivesLoadOf(std::size_t aHost, std::size_t aOfHost) const;
+  void SendSnapshots(std::size_t aHost);
+  void SendAggregates(std::size_t aZone);
+  void SendAggregateChanges(std::size_t aZone);
   PassEngine& EngineOf(const std::string& aId);
   Route RouteOf(std::size_t aClass) const;
   double WorthOf(const PassRequest& aRequest) const;
@@ -149,8 +150,7 @@
   const PassSite& site_;
   PassOptions options_;
   VirtualClock clock_;
-  std::mt19937_64
-    arrivals_; // separate, so that arrivals don't depend on options
+  std::mt19937_64 arrivals_; // separate, so that options don't change arrivals
   std::mt19937_64 random_;
   EnginePlacement placement_;
   PassLimits limits_;
@@ -158,7 +158,7 @@
   std::vector<std::unique_ptr<PassEngine>> engines_;
   std::vector<PassHost> hosts_;
   // By zone, the last announced aggregate of each engine.
-  std::vector<std::map<std::string, EndpointShare>> sums_;
+  std::vector<std::map<std::string, EndpointShare>> lastAggregates_;
   std::vector<PassResult> results_;
   std::vector<std::vector<double>> firsts_;
   std::uint64_t nextId_ = 1;
--- a/bench/gooseberrylift-pass-send.cc
+++ b/bench/gooseberrylift-pass-send.cc
@@ -13,13 +13,14 @@
 namespace {
 
 // A host abandons a request that spent this long on failed memory reservations.
-constexpr std::int64_t kMostUnsent = 1'000'000; // us
+constexpr std::int64_t kMaxReservationTime = 1'000'000; // us
 
 } // namespace
 
 // Reserves memory on one helper after another, with one round trip each, and
 // sends the request once all reservations succeeded.
-void PassPlayer::TakeMemory(const PassRequestPtr& aRequest, std::size_t aNext)
+void PassPlayer::ReserveMemory(const PassRequestPtr& aRequest,
+                               std::size_t aNext)
 {
   while (aNext < aRequest->held_.size() &&
          (!options_.bounded_ || aRequest->held_[aNext] == 0)) {
@@ -29,22 +30,22 @@
     Launch(aRequest);
     return;
   }
-  clock_.After(2 * kHop, [this, aRequest, aNext] {
+  clock_.After(2 * kNetworkDelay, [this, aRequest, aNext] {
     if (aRequest->done_) {
       return;
     }
     const std::string helper = aRequest->helpers_[aNext];
-    aRequest->unsent_ += 2 * kHop;
+    aRequest->reservationTime_ += 2 * kNetworkDelay;
     if (EngineOf(helper).Reserve(aRequest->id_, aRequest->held_[aNext])) {
-      aRequest->tickets_.push_back(helper);
-      TakeMemory(aRequest, aNext + 1);
+      aRequest->reservations_.push_back(helper);
+      ReserveMemory(aRequest, aNext + 1);
       return;
     }
-    ++results_[aRequest->class_].noMemory_;
-    Leave(aRequest);
+    ++results_[aRequest->class_].failedReservations_;
+    CancelAttempt(aRequest);
     aRequest->tried_.insert(aRequest->engine_);
-    if (aRequest->unsent_ > kMostUnsent) {
-      SendBack(aRequest, ReturnSoon());
+    if (aRequest->reservationTime_ > kMaxReservationTime) {
+      ReturnToCaller(aRequest, ShortRetryDelay());
     } else {
       Send(aRequest);
     }
@@ -58,20 +59,20 @@
   if (aRequest->done_ || aRequest->job_ != aJob) {
     return;
   }
-  ++results_[aRequest->class_].turnedAway_;
-  Leave(aRequest);
+  ++results_[aRequest->class_].engineRejections_;
+  CancelAttempt(aRequest);
   aRequest->job_ = nullptr;
   aRequest->tried_.insert(aRequest->engine_);
-  if (aRequest->sends_ < kMostSends &&
+  if (aRequest->attempts_ < kMaxAttempts &&
       hosts_[aRequest->host_].repeats_.TryRetry(
         "engines", hosts_.size(), At(clock_))) {
     Send(aRequest);
   } else {
-    SendBack(aRequest, ReturnSoon());
+    ReturnToCaller(aRequest, ShortRetryDelay());
   }
 }
 
-milliseconds PassPlayer::ReturnSoon()
+milliseconds PassPlayer::ShortRetryDelay()
 {
   constexpr std::uint64_t kSpreadMs = 600;
   return milliseconds(200 + random_() % kSpreadMs);
@@ -80,59 +81,61 @@
 void PassPlayer::Launch(const PassRequestPtr& aRequest)
 {
   aRequest->sent_ = clock_.Now();
-  ++aRequest->sends_;
+  ++aRequest->attempts_;
   limits_.OnSent(aRequest->host_, aRequest->engine_);
   auto job = std::make_shared<PassJob>();
   const auto readers = aRequest->helpers_.size() + 1;
   const double partMs =
     static_cast<double>(
-      site_.figures_.PrefillTime(aRequest->prompt_, static_cast<int>(readers))
+      site_.profile_.PrefillTime(aRequest->prompt_, static_cast<int>(readers))
         .count()) /
     1000;
   job->promptTokens_ = std::max<std::uint64_t>(aRequest->prompt_ / readers, 1);
   const std::uint64_t held = std::accumulate(
     aRequest->held_.begin(), aRequest->held_.end(), std::uint64_t{ 0 });
   job->memoryTokens_ = aRequest->prompt_ - std::min(aRequest->prompt_, held);
-  job->readMs_ = partMs;
+  job->prefillMs_ = partMs;
   job->spread_ = readers > 1;
   job->urgency_ = options_.defers_ && aRequest->deferred_ ? 1 : 0;
-  job->events_ = aRequest->events_ - aRequest->got_;
+  job->events_ = aRequest->events_ - aRequest->eventsReceived_;
   job->partsPending_ = static_cast<int>(readers) - 1;
   job->onEvent_ = [this, aRequest, job = std::weak_ptr(job)] {
     if (const auto held = job.lock()) {
-      clock_.After(kHop, [this, aRequest, held] { OnEvent(aRequest, held); });
+      clock_.After(kNetworkDelay,
+                   [this, aRequest, held] { OnEvent(aRequest, held); });
     }
   };
   const auto refuse = [this, aRequest, job = std::weak_ptr(job)] {
     if (const auto held = job.lock()) {
-      clock_.After(kHop, [this, aRequest, held] { OnRefused(aRequest, held); });
+      clock_.After(kNetworkDelay,
+                   [this, aRequest, held] { OnRefused(aRequest, held); });
     }
   };
   job->onRefused_ = refuse;
   aRequest->job_ = job;
   aRequest->parts_.clear();
-  clock_.After(kHop, [this, job, engine = aRequest->engine_] {
+  clock_.After(kNetworkDelay, [this, job, engine = aRequest->engine_] {
     EngineOf(engine).Add(job);
   });
   for (const std::string& helper : aRequest->helpers_) {
     limits_.OnSent(aRequest->host_, helper);
     auto part = std::make_shared<PassJob>();
     part->promptTokens_ = job->promptTokens_;
-    part->readMs_ = partMs;
+    part->prefillMs_ = partMs;
     part->isPart_ = true;
     part->spread_ = true;
-    part->onRead_ = [this, job, engine = aRequest->engine_] {
+    part->onPrefilled_ = [this, job, engine = aRequest->engine_] {
       --job->partsPending_;
       EngineOf(engine).Wake();
     };
     part->onRefused_ = refuse;
     aRequest->parts_.push_back(part);
-    clock_.After(2 * kHop,
+    clock_.After(2 * kNetworkDelay,
                  [this, part, helper] { EngineOf(helper).Add(part); });
   }
-  Watch(aRequest,
-        aRequest->heard_,
-        EndpointStallTimeout(RouteOf(aRequest->class_)));
+  WatchForStall(aRequest,
+                aRequest->lastEvent_,
+                EndpointStallTimeout(RouteOf(aRequest->class_)));
 }
 
 } // namespace gooseberrylift::bench
--- a/bench/gooseberrylift-pass-sites.cc
+++ b/bench/gooseberrylift-pass-sites.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-EngineProfile FiguresOfSites()
+EngineProfile DefaultProfile()
 {
   return { .slots_ = 16,
            .memoryTokens_ = 450'000,
@@ -31,7 +31,7 @@
   double lateWorth_;
 };
 
-// Only the maximum prompt length differs in size between sites.
+// Sizes of the long prompts, the only ones that differ between sites.
 struct LongPrompts
 {
   double mean_;
@@ -40,10 +40,10 @@
 };
 
 // The three request classes of all sites, sorted by maximum gap.
-std::vector<PassClass> ThreeKinds(const Kind& aShort,
-                                  const Kind& aMiddle,
-                                  const Kind& aLong,
-                                  const LongPrompts& aPrompts)
+std::vector<PassClass> MakeClasses(const Kind& aShort,
+                                   const Kind& aMiddle,
+                                   const Kind& aLong,
+                                   const LongPrompts& aPrompts)
 {
   const auto make = [](const Kind& aKind, PassClass aClass) {
     aClass.perSecond_ = aKind.perSecond_;
@@ -57,21 +57,21 @@
                 { .name_ = "short",
                   .promptMean_ = 4960,
                   .promptSpread_ = 0.9,
-                  .promptMost_ = 23'800,
+                  .maxPrompt_ = 23'800,
                   .eventsSpread_ = 0.7,
                   .objective_ = milliseconds(300) }),
            make(aMiddle,
                 { .name_ = "middle",
                   .promptMean_ = 45'000,
                   .promptSpread_ = 0.5,
-                  .promptMost_ = 110'000,
+                  .maxPrompt_ = 110'000,
                   .eventsSpread_ = 0.6,
                   .objective_ = milliseconds(1500) }),
            make(aLong,
                 { .name_ = "long",
                   .promptMean_ = aPrompts.mean_,
                   .promptSpread_ = 0.55,
-                  .promptMost_ = aPrompts.most_,
+                  .maxPrompt_ = aPrompts.most_,
                   .eventsSpread_ = 0.5,
                   .objective_ = aPrompts.objective_,
                   .deadline_ = milliseconds(15'000) }) };
@@ -83,7 +83,7 @@
   PassSite site{ .hosts_ = aLarge ? 91 : 6,
                  .zones_ = aLarge ? 3 : 1,
                  .engines_ = aLarge ? 78 : 23,
-                 .figures_ = { .slots_ = aLarge ? 12 : 16,
+                 .profile_ = { .slots_ = aLarge ? 12 : 16,
                                .memoryTokens_ = aLarge ? 197'200U : 232'000U,
                                .stepMs_ = 1.02,
                                .stepPerSequenceMs_ = 0.00226,
@@ -95,24 +95,24 @@
                                .crossEngineStepMs_ = 0.075,
                                .typicalAnswerTokens_ = 1409 } };
   site.classes_ =
-    ThreeKinds({ .perSecond_ = aLarge ? 130.0 : 49.0,
-                 .eventsMean_ = 31.6,
-                 .maxGap_ = milliseconds(250),
-                 .worth_ = 1.3,
-                 .lateWorth_ = 0.33 },
-               { .perSecond_ = aLarge ? 8.84 : 2.67,
-                 .eventsMean_ = 19,
-                 .maxGap_ = milliseconds(600),
-                 .worth_ = aLarge ? 3.3 : 3.9,
-                 .lateWorth_ = aLarge ? 0.83 : 0.98 },
-               { .perSecond_ = aLarge ? 5.45 : 2.24,
-                 .eventsMean_ = 15.8,
-                 .maxGap_ = milliseconds(1000),
-                 .worth_ = aLarge ? 20.0 : 15.0,
-                 .lateWorth_ = aLarge ? 5.1 : 3.7 },
-               { .mean_ = aLarge ? 190'000.0 : 133'000.0,
-                 .most_ = 600'000,
-                 .objective_ = milliseconds(aLarge ? 3'000 : 2'500) });
+    MakeClasses({ .perSecond_ = aLarge ? 130.0 : 49.0,
+                  .eventsMean_ = 31.6,
+                  .maxGap_ = milliseconds(250),
+                  .worth_ = 1.3,
+                  .lateWorth_ = 0.33 },
+                { .perSecond_ = aLarge ? 8.84 : 2.67,
+                  .eventsMean_ = 19,
+                  .maxGap_ = milliseconds(600),
+                  .worth_ = aLarge ? 3.3 : 3.9,
+                  .lateWorth_ = aLarge ? 0.83 : 0.98 },
+                { .perSecond_ = aLarge ? 5.45 : 2.24,
+                  .eventsMean_ = 15.8,
+                  .maxGap_ = milliseconds(1000),
+                  .worth_ = aLarge ? 20.0 : 15.0,
+                  .lateWorth_ = aLarge ? 5.1 : 3.7 },
+                { .mean_ = aLarge ? 190'000.0 : 133'000.0,
+                  .most_ = 600'000,
+                  .objective_ = milliseconds(aLarge ? 3'000 : 2'500) });
   site.phases_ = { { 2, 11.5, { 0.37, 1.3, 2.8 } },
                    { 12, 21.5, { 2.45, 0.5, 0.05 } },
                    { 23, 32.5, { 0.37, 1.3, 2.8 } } };
@@ -125,10 +125,10 @@
   PassSite site{ .hosts_ = aHosts,
                  .zones_ = 5,
                  .engines_ = aEngines,
-                 .figures_ = FiguresOfSites() };
-  site.figures_.slots_ = 10;
-  site.figures_.stepsPerPass_ = 73;
-  site.classes_ = ThreeKinds(
+                 .profile_ = DefaultProfile() };
+  site.profile_.slots_ = 10;
+  site.profile_.stepsPerPass_ = 73;
+  site.classes_ = MakeClasses(
     { .perSecond_ = 282 * aRateFactor,
       .eventsMean_ = 24,
       .maxGap_ = milliseconds(250),
@@ -166,14 +166,14 @@
   if (aName.starts_with("contracts")) {
     return ContractsSite(aName == "contracts-large");
   }
-  PassSite site{ .hosts_ = 6, .engines_ = 23, .figures_ = FiguresOfSites() };
+  PassSite site{ .hosts_ = 6, .engines_ = 23, .profile_ = DefaultProfile() };
   double rate = 0.83;
   if (aName == "checks") {
     site.hosts_ = 9;
     site.engines_ = 18;
     rate = 0.65;
   }
-  site.classes_ = ThreeKinds(
+  site.classes_ = MakeClasses(
     { .perSecond_ = 50.5 * rate,
       .eventsMean_ = 34.9,
       .maxGap_ = milliseconds(200),
--- a/bench/gooseberrylift-pass-words.cc
+++ b/bench/gooseberrylift-pass-words.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Delay from a host to one in another zone through a relaying host.
-constexpr std::int64_t kRelayed = 4'000; // us
+constexpr std::int64_t kRelayDelay = 4'000; // us
 
 // An aggregate is sent again if it differs in more than elapsed time.
 bool Differs(const EndpointShare& aOne, const EndpointShare& aOther)
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void PassPlayer::ChooseFarHosts()
+void PassPlayer::ChooseRemoteListeners()
 {
   std::vector<std::size_t> all(hosts_.size());
   for (std::size_t host = 0; host < all.size(); ++host) {
@@ -34,72 +34,73 @@
     std::shuffle(all.begin(), all.end(), random_);
     for (const std::size_t other : all) {
       if (hosts_[other].zone_ != host.zone_ &&
-          host.far_.size() < options_.farKnown_) {
-        host.far_.insert(other);
+          host.remoteListeners_.size() < options_.remoteSampleSize_) {
+        host.remoteListeners_.insert(other);
       }
     }
   }
 }
 
 // A host that is short of CPU time delays all of its messages.
-void PassPlayer::DrawWordDelays()
+void PassPlayer::DrawMessageDelays()
 {
-  if (options_.wordDelay_.count() == 0) {
+  if (options_.messageDelay_.count() == 0) {
     return;
   }
   std::exponential_distribution<double> delay(
-    1.0 / static_cast<double>(options_.wordDelay_.count()));
+    1.0 / static_cast<double>(options_.messageDelay_.count()));
   for (PassHost& host : hosts_) {
-    host.wordDelay_ = static_cast<std::int64_t>(delay(random_) * 1000);
+    host.messageDelay_ = static_cast<std::int64_t>(delay(random_) * 1000);
   }
 }
 
 bool PassPlayer::IsLost()
 {
-  return options_.wordLoss_ > 0 &&
-         std::uniform_real_distribution<>(0, 1)(random_) < options_.wordLoss_;
+  return options_.messageLoss_ > 0 && std::uniform_real_distribution<>(0, 1)(
+                                        random_) < options_.messageLoss_;
 }
 
-bool PassPlayer::Hears(std::size_t aHost, std::size_t aOfHost) const
+bool PassPlayer::ReceivesLoadOf(std::size_t aHost, std::size_t aOfHost) const
 {
   if (aHost == aOfHost) {
     return false;
   }
   const PassHost& of = hosts_[aOfHost];
   return hosts_[aHost].zone_ == of.zone_ || options_.far_ == PassFar::kAll ||
-         (options_.far_ == PassFar::kSample && of.far_.contains(aHost));
+         (options_.far_ == PassFar::kSample &&
+          of.remoteListeners_.contains(aHost));
 }
 
-void PassPlayer::TellWhole(std::size_t aHost)
+void PassPlayer::SendSnapshots(std::size_t aHost)
 {
   const auto shares = hosts_[aHost].load_.OwnShares(At(clock_));
-  clock_.After(hosts_[aHost].wordDelay_, [this, aHost, shares] {
+  clock_.After(hosts_[aHost].messageDelay_, [this, aHost, shares] {
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
-      if (Hears(other, aHost) && !IsLost()) {
+      if (ReceivesLoadOf(other, aHost) && !IsLost()) {
         hosts_[other].load_.OnPeerSnapshot(
           hosts_[aHost].name_, shares, At(clock_));
       }
     }
   });
   clock_.After(options_.whole_.count() * 1000,
-               [this, aHost] { TellWhole(aHost); });
+               [this, aHost] { SendSnapshots(aHost); });
 }
 
-void PassPlayer::TellSums(std::size_t aZone)
+void PassPlayer::SendAggregates(std::size_t aZone)
 {
-  TellChanges(aZone);
+  SendAggregateChanges(aZone);
   clock_.After(options_.sums_.count() * 1000,
-               [this, aZone] { TellSums(aZone); });
+               [this, aZone] { SendAggregates(aZone); });
 }
 
 // One host per zone, here the first, aggregates the zone's load for others.
-void PassPlayer::TellChanges(std::size_t aZone)
+void PassPlayer::SendAggregateChanges(std::size_t aZone)
 {
   const std::string zone = "zone-" + std::to_string(aZone);
   const auto isOfZone = [](const std::string& aHost) {
     return !aHost.starts_with("zone-");
   };
-  std::map<std::string, EndpointShare>& told = sums_[aZone];
+  std::map<std::string, EndpointShare>& told = lastAggregates_[aZone];
   std::vector<EndpointShare> changes;
   std::map<std::string, EndpointShare> sums;
   for (EndpointShare& sum : hosts_[aZone].load_.Sum(isOfZone, At(clock_))) {
@@ -114,7 +115,7 @@
     }
   }
   told = std::move(sums);
-  clock_.After(kRelayed + hosts_[aZone].wordDelay_,
+  clock_.After(kRelayDelay + hosts_[aZone].messageDelay_,
                [this, aZone, zone, changes] {
                  for (PassHost& host : hosts_) {
                    if (host.zone_ != aZone && !IsLost()) {
--- a/bench/slopes/gooseberrylift-core-slopes.cc
+++ b/bench/slopes/gooseberrylift-core-slopes.cc
@@ -234,7 +234,8 @@
   return digest;
 }
 
-// Creates a table with load from the given number of hosts of its own zone.
+// Creates a table that has digests from the given number of hosts of its own
+// zone.
 PeerTable TableOf(int aHosts)
 {
   PeerTable table({ .host_ = "entry-self",
--- a/bench/slopes/gooseberrylift-fleet-slopes.cc
+++ b/bench/slopes/gooseberrylift-fleet-slopes.cc
@@ -22,10 +22,10 @@
 
 namespace {
 
-constexpr std::chrono::seconds kWatch{ 10 };
+constexpr std::chrono::seconds kIdlePeriod{ 10 };
 // Hosts call the store more often while they join the fleet.
 constexpr std::chrono::seconds kSettle{ 45 };
-constexpr std::chrono::seconds kWatchStore{ 60 };
+constexpr std::chrono::seconds kStorePeriod{ 60 };
 constexpr const char* kConfigurationPath =
   "/apis/gooseberrylift.dev/v1/configurations/main";
 
@@ -38,7 +38,7 @@
 }
 
 // Returns the CPU time that a process has used, in microseconds.
-double ProcessorTime(int aPid)
+double CpuTimeOf(int aPid)
 {
   std::ifstream file("/proc/" + std::to_string(aPid) + "/stat");
   std::string text;
@@ -88,13 +88,13 @@
   const auto time = [&] {
     double sum = 0;
     for (std::size_t host = 0; host < aDeployment.Hosts(); ++host) {
-      sum += ProcessorTime(aDeployment.At(host).Handle().Pid());
+      sum += CpuTimeOf(aDeployment.At(host).Handle().Pid());
     }
     return sum;
   };
   const double timeBefore = time();
-  std::this_thread::sleep_for(kWatch);
-  const double seconds = static_cast<double>(kWatch.count());
+  std::this_thread::sleep_for(kIdlePeriod);
+  const double seconds = static_cast<double>(kIdlePeriod.count());
   const auto hosts = static_cast<double>(aDeployment.Hosts());
   IdleCost cost{ .corePercent_ =
                    (time() - timeBefore) / (seconds * 1e6) * 100 / hosts };
@@ -114,7 +114,7 @@
 
 // Writes the configuration with the next generation and waits until all hosts
 // applied it. Returns the time in milliseconds, or -1 on timeout.
-double MeasureSpread(Deployment& aDeployment)
+double MeasurePropagation(Deployment& aDeployment)
 {
   json object = ReadConfiguration(aDeployment);
   const int generation = object["spec"]["generation"].get<int>() + 1;
@@ -150,7 +150,7 @@
     const IdleCost cost = MeasureIdle(deployment);
     core.push_back({ size, cost.corePercent_ });
     memory.push_back({ size, cost.residentBytes_ });
-    spread.push_back({ size, MeasureSpread(deployment) });
+    spread.push_back({ size, MeasurePropagation(deployment) });
   }
   PrintSlope("idle host with 8 engines", "entry host", "% of a core", core);
   PrintSlope("idle host, resident", "entry host", "bytes", memory);
@@ -174,13 +174,13 @@
   for (const auto& fleet : fleets) {
     before.push_back(StoreCalls(*fleet));
   }
-  std::this_thread::sleep_for(kWatchStore);
+  std::this_thread::sleep_for(kStorePeriod);
   std::vector<SlopePoint> points;
   for (std::size_t index = 0; index < fleets.size(); ++index) {
     Deployment& fleet = *fleets.at(index);
     const double calls = StoreCalls(fleet) - before.at(index);
     points.push_back({ static_cast<double>(fleet.Hosts()),
-                       calls / static_cast<double>(kWatchStore.count()) });
+                       calls / static_cast<double>(kStorePeriod.count()) });
   }
   PrintSlope("store calls of all hosts, settled and idle",
              "entry host",
@@ -219,7 +219,7 @@
   Deployment deployment(options);
   Host& host = deployment.At(0);
   const int pid = host.Handle().Pid();
-  const double before = ProcessorTime(pid);
+  const double before = CpuTimeOf(pid);
   const TimePoint end = TimerService::Now() + std::chrono::seconds(3);
   int done = 0;
   while (TimerService::Now() < end || done < 5) {
@@ -233,7 +233,7 @@
     }
     ++done;
   }
-  return { .processorTime_ = (ProcessorTime(pid) - before) / done,
+  return { .processorTime_ = (CpuTimeOf(pid) - before) / done,
            .peakBytes_ = MemoryOf(pid, "VmHWM:") };
 }
 
