--- a/test/core/gooseberrylift-pass-engine-test.cc
+++ b/test/core/gooseberrylift-pass-engine-test.cc
@@ -38,17 +38,17 @@
     auto job = std::make_shared<PassJob>();
     job->promptTokens_ = aTokens;
     job->memoryTokens_ = aTokens;
-    job->readMs_ = static_cast<double>(aTokens) / 100;
+    job->prefillMs_ = static_cast<double>(aTokens) / 100;
     job->events_ = aEvents;
     job->onEvent_ = [this] { ++events_; };
-    job->onRead_ = [] {};
+    job->onPrefilled_ = [] {};
     job->onRefused_ = [this] { ++refused_; };
     jobs_.push_back(job);
     return job;
   }
 };
 
-TEST(PassEngineTest, TurnsRequestsAwayBeyondItsSlotsAndQueue)
+TEST(PassEngineTest, RejectsRequestsBeyondItsSlotsAndQueue)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   for (int request = 0; request < 10; ++request) {
@@ -58,7 +58,7 @@
   LONGS_EQUAL(4, refused_); // two run and four are queued
 }
 
-TEST(PassEngineTest, TurnsPartsAwayWhenItHelpsAsManyAsItHasSlots)
+TEST(PassEngineTest, RejectsMoreHelperPartsThanItHasSlots)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   for (int part = 0; part < 3; ++part) {
@@ -70,14 +70,14 @@
   LONGS_EQUAL(1, refused_);
 }
 
-TEST(PassEngineTest, TurnsAwayWhatItsMemoryCannotHold)
+TEST(PassEngineTest, RejectsPromptsLargerThanItsMemory)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   engine.Add(Job(10'001, 1));
   LONGS_EQUAL(1, refused_);
 }
 
-TEST(PassEngineTest, LetsARequestWaitUntilItsPromptFitsIntoMemory)
+TEST(PassEngineTest, QueuesARequestUntilItsPromptFitsIntoMemory)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   engine.Add(Job(6'000, 50));
@@ -90,7 +90,7 @@
   LONGS_EQUAL(0, engine.Preempted());
 }
 
-TEST(PassEngineTest, ReadsTheNewestRequestAgainWhenMemoryRunsOut)
+TEST(PassEngineTest, PreemptsTheNewestRequestWhenMemoryRunsOut)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   engine.Add(Job(4'900, 50));
@@ -100,7 +100,7 @@
   LONGS_EQUAL(100, events_);
 }
 
-TEST(PassEngineTest, SetsNoMoreMemoryAsideThanItHas)
+TEST(PassEngineTest, ReservesNoMoreMemoryThanItHas)
 {
   PassEngine engine(clock_, SmallEngine(), true);
   CHECK_TRUE(engine.Reserve(1, 6'000));
@@ -113,7 +113,7 @@
   LONGS_EQUAL(1, events_);
 }
 
-TEST(PassEngineTest, TurnsNothingAwayWhenItIsNotBounded)
+TEST(PassEngineTest, RejectsNothingWhenItIsNotBounded)
 {
   PassEngine engine(clock_, SmallEngine(), false);
   for (int request = 0; request < 100; ++request) {
