--- a/bench/gooseberrylift-pass-bench-main.cc
+++ b/bench/gooseberrylift-pass-bench-main.cc
@@ -29,7 +29,7 @@
   aSum.owed_ += aOne.owed_;
   aSum.firstP50Ms_ += aOne.firstP50Ms_;
   aSum.firstP99Ms_ += aOne.firstP99Ms_;
-  aSum.repeats_ += aOne.repeats_;
+  aSum.retries_ += aOne.retries_;
   aSum.refused_ += aOne.refused_;
   aSum.engineRejections_ += aOne.engineRejections_;
   aSum.failedReservations_ += aOne.failedReservations_;
@@ -47,7 +47,7 @@
            { "worth", aResult.worth_ / aResult.owed_ },
            { "first_p50_ms", aResult.firstP50Ms_ / aSeeds },
            { "first_p99_ms", aResult.firstP99Ms_ / aSeeds },
-           { "repeats", aResult.repeats_ },
+           { "repeats", aResult.retries_ },
            { "turned_away", aResult.engineRejections_ },
            { "no_memory", aResult.failedReservations_ },
            { "largest_served",
@@ -80,7 +80,7 @@
                 sum.worth_ / sum.owed_,
                 sum.firstP50Ms_ / aSeeds,
                 sum.firstP99Ms_ / aSeeds,
-                sum.repeats_,
+                sum.retries_,
                 100.0 * sum.largestServed_ / std::max(sum.largestAsked_, 1),
                 sum.engineRejections_,
                 sum.failedReservations_);
--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::optional<PlacementChoice> PassPlayer::Choose(
+std::optional<PlacementChoice> PassSimulation::Choose(
   PassHost& aHost,
   const PassRequestPtr& aRequest,
   const std::vector<ListedEndpoint>& aAll)
@@ -78,8 +78,8 @@
                                        aRequest->prompt_) } };
 }
 
-HoldDecision PassPlayer::DecideHold(const PassRequestPtr& aRequest,
-                                    const PlacementChoice& aChoice) const
+HoldDecision PassSimulation::DecideHold(const PassRequestPtr& aRequest,
+                                        const PlacementChoice& aChoice) const
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
@@ -98,8 +98,8 @@
 
 // Sends a request that can't be served in time back to its caller, which
 // retries once.
-bool PassPlayer::RefuseIfLate(const PassRequestPtr& aRequest,
-                              const PlacementChoice& aChoice)
+bool PassSimulation::RefuseIfLate(const PassRequestPtr& aRequest,
+                                  const PlacementChoice& aChoice)
 {
   const PassClass& kind = site_.classes_[aRequest->class_];
   const milliseconds waited((clock_.Now() - aRequest->arrived_) / 1000);
@@ -117,7 +117,7 @@
   return true;
 }
 
-milliseconds PassPlayer::LatestRetryDelay(const PassRequest& aRequest) const
+milliseconds PassSimulation::LatestRetryDelay(const PassRequest& aRequest) const
 {
   const PassClass& kind = site_.classes_[aRequest.class_];
   const milliseconds waited((clock_.Now() - aRequest.arrived_) / 1000);
@@ -125,8 +125,8 @@
 }
 
 // The caller retries once.
-void PassPlayer::ReturnToCaller(const PassRequestPtr& aRequest,
-                                milliseconds aWait)
+void PassSimulation::ReturnToCaller(const PassRequestPtr& aRequest,
+                                    milliseconds aWait)
 {
   ++results_[aRequest->class_].refused_;
   if (aRequest->refused_) {
@@ -143,7 +143,7 @@
   });
 }
 
-void PassPlayer::Send(const PassRequestPtr& aRequest)
+void PassSimulation::Send(const PassRequestPtr& aRequest)
 {
   PassHost& host = hosts_[aRequest->host_];
   const std::vector<ListedEndpoint> all =
@@ -186,11 +186,13 @@
     AnnouncePlacement(aRequest->host_, *choice);
   }
   aRequest->deferred_ = choice->deferred_;
-  aRequest->held_.assign(choice->helpers_.size(), choice->reservedTokens_);
+  aRequest->helperTokens_.assign(choice->helpers_.size(),
+                                 choice->reservedTokens_);
   ReserveMemory(aRequest, 0);
 }
 
-EndpointActivity PassPlayer::ActivityOf(const PassRequestPtr& aRequest) const
+EndpointActivity PassSimulation::ActivityOf(
+  const PassRequestPtr& aRequest) const
 {
   const PassHost& host = hosts_[aRequest->host_];
   const EndpointLoad load = host.load_.Of(aRequest->engine_, At(clock_));
@@ -209,9 +211,9 @@
 
 // Retries the request on another engine, or abandons it as its caller does, if
 // no event arrived within the timeout.
-void PassPlayer::WatchForStall(const PassRequestPtr& aRequest,
-                               std::int64_t aSince,
-                               microseconds aWait)
+void PassSimulation::WatchForStall(const PassRequestPtr& aRequest,
+                                   std::int64_t aSince,
+                                   microseconds aWait)
 {
   const auto job = aRequest->job_;
   clock_.After(aWait.count(), [this, aRequest, aSince, job] {
@@ -228,8 +230,8 @@
       return;
     }
     if (aRequest->attempts_ < kMaxAttempts &&
-        host.repeats_.TryRetry("engines", hosts_.size(), At(clock_))) {
-      ++results_[aRequest->class_].repeats_;
+        host.retries_.TryRetry("engines", hosts_.size(), At(clock_))) {
+      ++results_[aRequest->class_].retries_;
       CancelAttempt(aRequest);
       aRequest->tried_.insert(aRequest->engine_);
       Send(aRequest);
@@ -246,7 +248,7 @@
   });
 }
 
-void PassPlayer::CancelAttempt(const PassRequestPtr& aRequest)
+void PassSimulation::CancelAttempt(const PassRequestPtr& aRequest)
 {
   PassHost& host = hosts_[aRequest->host_];
   if (aRequest->job_) {
@@ -267,8 +269,8 @@
   }
 }
 
-void PassPlayer::OnEvent(const PassRequestPtr& aRequest,
-                         const std::shared_ptr<PassJob>& aJob)
+void PassSimulation::OnEvent(const PassRequestPtr& aRequest,
+                             const std::shared_ptr<PassJob>& aJob)
 {
   if (aRequest->done_ || aRequest->job_ != aJob) {
     return;
@@ -277,9 +279,10 @@
   PassHost& host = hosts_[aRequest->host_];
   const std::int64_t now = clock_.Now();
   if (aRequest->lastEvent_ < 0) {
-    aRequest->firstMs_ = static_cast<double>(now - aRequest->arrived_) / 1000;
+    aRequest->firstEventMs_ =
+      static_cast<double>(now - aRequest->arrived_) / 1000;
   } else if (now - aRequest->lastEvent_ > kind.maxGap_.count() * 1000) {
-    aRequest->gap_ = true;
+    aRequest->gapExceeded_ = true;
   }
   host.load_.OnStarted(aRequest->engine_, aRequest->id_, At(clock_));
   for (const std::string& helper : aRequest->helpers_) {
@@ -294,7 +297,7 @@
   WatchForStall(aRequest, now, EndpointStallTimeout(RouteOf(aRequest->class_)));
 }
 
-void PassPlayer::End(const PassRequestPtr& aRequest, bool aServed)
+void PassSimulation::End(const PassRequestPtr& aRequest, bool aServed)
 {
   if (aRequest->done_) {
     return;
@@ -305,8 +308,8 @@
   }
   const PassClass& kind = site_.classes_[aRequest->class_];
   PassResult& result = results_[aRequest->class_];
-  if (aRequest->firstMs_ >= 0) {
-    firsts_[aRequest->class_].push_back(aRequest->firstMs_);
+  if (aRequest->firstEventMs_ >= 0) {
+    firstEventTimes_[aRequest->class_].push_back(aRequest->firstEventMs_);
   }
   const bool largest =
     static_cast<double>(aRequest->prompt_) >= LargestTenthOf(kind);
@@ -317,16 +320,17 @@
   }
   result.largestServed_ += largest ? 1 : 0;
   const bool inTime =
-    aRequest->firstMs_ <= static_cast<double>(kind.objective_.count()) &&
-    !aRequest->gap_;
+    aRequest->firstEventMs_ <= static_cast<double>(kind.objective_.count()) &&
+    !aRequest->gapExceeded_;
   (inTime ? result.inTime_ : result.late_) += 1;
   result.lateFirst_ +=
-    aRequest->firstMs_ > static_cast<double>(kind.objective_.count()) ? 1 : 0;
+    aRequest->firstEventMs_ > static_cast<double>(kind.objective_.count()) ? 1
+                                                                           : 0;
   result.worth_ +=
     WorthOf(*aRequest) * (inTime ? kind.worth_ : kind.lateWorth_);
 }
 
-void PassPlayer::Exchange(std::size_t aOne, std::size_t aOther)
+void PassSimulation::Exchange(std::size_t aOne, std::size_t aOther)
 {
   if (aOne == aOther) {
     return;
@@ -347,8 +351,8 @@
 }
 
 // Announces a host's load on the engines of a new placement to other hosts.
-void PassPlayer::AnnouncePlacement(std::size_t aHost,
-                                   const PlacementChoice& aChoice)
+void PassSimulation::AnnouncePlacement(std::size_t aHost,
+                                       const PlacementChoice& aChoice)
 {
   const FleetLoad& load = hosts_[aHost].load_;
   std::vector<EndpointShare> shares = { load.OwnShare(aChoice.endpoint_->id_,
@@ -375,7 +379,7 @@
                });
 }
 
-void PassPlayer::RunRound(std::size_t aHost)
+void PassSimulation::RunRound(std::size_t aHost)
 {
   for (std::size_t partner = 0; partner < options_.partners_; ++partner) {
     Exchange(aHost, random_() % hosts_.size());
@@ -384,7 +388,7 @@
                [this, aHost] { RunRound(aHost); });
 }
 
-std::vector<PassResult> PassPlayer::Play()
+std::vector<PassResult> PassSimulation::Run()
 {
   for (std::size_t zone = 0; zone < lastAggregates_.size(); ++zone) {
     if (options_.far_ == PassFar::kSums) {
@@ -412,7 +416,7 @@
   clock_.RunUntil(
     static_cast<std::int64_t>((site_.seconds_ + kDrainSeconds) * 1e6));
   for (std::size_t kind = 0; kind < results_.size(); ++kind) {
-    std::vector<double>& firsts = firsts_[kind];
+    std::vector<double>& firsts = firstEventTimes_[kind];
     std::sort(firsts.begin(), firsts.end());
     if (!firsts.empty()) {
       results_[kind].firstP50Ms_ = firsts[firsts.size() / 2];
@@ -426,10 +430,10 @@
                                    const PassOptions& aOptions,
                                    PassLimitCount* aLimited)
 {
-  PassPlayer player(aSite, aOptions);
-  std::vector<PassResult> results = player.Play();
+  PassSimulation simulation(aSite, aOptions);
+  std::vector<PassResult> results = simulation.Run();
   if (aLimited != nullptr) {
-    *aLimited = player.Limited();
+    *aLimited = simulation.Limited();
   }
   return results;
 }
--- a/bench/gooseberrylift-pass-bench.h
+++ b/bench/gooseberrylift-pass-bench.h
@@ -79,7 +79,7 @@
   bool announcesShort_ = true; // announces placed short prompts too
   PassFar far_ = PassFar::kAll;
   std::size_t remoteSampleSize_ = 64;     // sample size for kSample
-  std::chrono::milliseconds sums_{ 100 }; // their interval, with kSums
+  std::chrono::milliseconds sums_{ 100 }; // between aggregates
   // Interval between a host's messages with its complete load, for fleets where
   // it can't announce each change; zero leaves it to the rounds.
   std::chrono::milliseconds whole_{ 0 };
@@ -111,7 +111,7 @@
   double owed_ = 0;   // value if all had been in time
   double firstP50Ms_ = 0;
   double firstP99Ms_ = 0;
-  int repeats_ = 0;
+  int retries_ = 0;
   int refused_ = 0;            // returned to the caller for a retry
   int engineRejections_ = 0;   // arrivals rejected by an engine
   int failedReservations_ = 0; // failed memory reservations
--- a/bench/gooseberrylift-pass-callers.cc
+++ b/bench/gooseberrylift-pass-callers.cc
@@ -7,7 +7,7 @@
 
 namespace gooseberrylift::bench {
 
-Route PassPlayer::RouteOf(std::size_t aClass) const
+Route PassSimulation::RouteOf(std::size_t aClass) const
 {
   const PassClass& kind = site_.classes_[aClass];
   return { .name_ = kind.name_,
@@ -19,7 +19,7 @@
            .maxGap_ = kind.maxGap_ };
 }
 
-PassEngine& PassPlayer::EngineOf(const std::string& aId)
+PassEngine& PassSimulation::EngineOf(const std::string& aId)
 {
   return *engines_.at(static_cast<std::size_t>(
     std::stoi(aId.substr(std::string("engine-").size()))));
@@ -27,7 +27,7 @@
 
 // The value of a request is 0.3 plus 0.7 times its size relative to the mean,
 // with a maximum of four times the value of a mean request.
-double PassPlayer::WorthOf(const PassRequest& aRequest) const
+double PassSimulation::WorthOf(const PassRequest& aRequest) const
 {
   constexpr double kAnswerWeight = 10;
   const PassClass& kind = site_.classes_[aRequest.class_];
@@ -39,7 +39,7 @@
   return std::min(0.3 + 0.7 * size / usual, 4.0);
 }
 
-double PassPlayer::FactorAt(std::size_t aClass, double aSeconds) const
+double PassSimulation::FactorAt(std::size_t aClass, double aSeconds) const
 {
   for (const PassPhase& phase : site_.phases_) {
     if (aSeconds >= phase.fromSeconds_ && aSeconds < phase.toSeconds_) {
@@ -49,7 +49,7 @@
   return 1;
 }
 
-void PassPlayer::ScheduleArrivals(std::size_t aClass)
+void PassSimulation::ScheduleArrivals(std::size_t aClass)
 {
   const double seconds = static_cast<double>(clock_.Now()) / 1e6;
   // Thins a Poisson process of the highest rate, so that phase boundaries are
@@ -71,7 +71,7 @@
   });
 }
 
-void PassPlayer::Arrive(std::size_t aClass)
+void PassSimulation::Arrive(std::size_t aClass)
 {
   const PassClass& kind = site_.classes_[aClass];
   const auto draw = [this](double aMean, double aSpread, double aMax) {
@@ -91,7 +91,7 @@
   request->lastArrival_ = clock_.Now();
   ++results_[aClass].asked_;
   results_[aClass].owed_ += WorthOf(*request) * kind.worth_;
-  hosts_[request->host_].repeats_.OnRequest("engines", At(clock_));
+  hosts_[request->host_].retries_.OnRequest("engines", At(clock_));
   clock_.After(kind.deadline_.count() * 1000,
                [this, request] { End(request, false); });
   Send(request);
--- a/bench/gooseberrylift-pass-engine.cc
+++ b/bench/gooseberrylift-pass-engine.cc
@@ -86,7 +86,7 @@
   } else {
     const auto later =
       std::find_if(queue_.begin(), queue_.end(), [&](const auto& aOther) {
-        return aOther->urgency_ > aJob->urgency_;
+        return aOther->priority_ > aJob->priority_;
       });
     queue_.insert(later, std::move(aJob));
   }
--- a/bench/gooseberrylift-pass-engine.h
+++ b/bench/gooseberrylift-pass-engine.h
@@ -64,7 +64,7 @@
   int events_ = 0;                 // left to generate
   int partsPending_ = 0;           // unfinished on other engines
   bool cancelled_ = false;
-  int urgency_ = 0;                   // the lowest value gets a slot first
+  int priority_ = 0;                  // the lowest value gets a slot first
   std::function<void()> onEvent_;     // called for each output event
   std::function<void()> onPrefilled_; // called when a part is prefilled
   std::function<void()> onRefused_;   // called if a bounded engine rejects it
--- a/bench/gooseberrylift-pass-player.h
+++ b/bench/gooseberrylift-pass-player.h
@@ -41,9 +41,9 @@
   std::int64_t lastArrival_ = 0; // includes retries by the caller
   std::int64_t sent_ = 0;        // time of the last attempt
   std::int64_t lastEvent_ = -1;  // time of the last event; -1 before the first
-  double firstMs_ = -1;
+  double firstEventMs_ = -1;
   int eventsReceived_ = 0;
-  bool gap_ = false; // a gap between events exceeded the maximum
+  bool gapExceeded_ = false; // a gap between events exceeded the maximum
   bool done_ = false;
   bool refused_ = false;  // refused once; the caller retries once
   bool deferred_ = false; // in its last placement
@@ -53,8 +53,8 @@
   std::vector<std::shared_ptr<PassJob>> parts_;
   std::string engine_;
   std::vector<std::string> helpers_;
-  std::vector<std::uint64_t> held_;       // tokens to reserve, by helper
-  std::vector<std::string> reservations_; // engines with reserved memory
+  std::vector<std::uint64_t> helperTokens_; // tokens to reserve, by helper
+  std::vector<std::string> reservations_;   // engines with reserved memory
   std::int64_t reservationTime_ = 0; // us spent on failed memory reservations
 };
 using PassRequestPtr = std::shared_ptr<PassRequest>;
@@ -66,15 +66,15 @@
   // Hosts of other zones that receive its load messages.
   std::set<std::size_t> remoteListeners_;
   FleetLoad load_{ FleetLoad::Options{} };
-  FleetRetryBudget repeats_{ FleetRetryBudget::Options{} };
+  FleetRetryBudget retries_{ FleetRetryBudget::Options{} };
   std::int64_t messageDelay_ = 0; // us
   std::size_t next_ = 0;          // next engine for round robin
 };
 
-class PassPlayer
+class PassSimulation
 {
 public:
-  PassPlayer(const PassSite& aSite, const PassOptions& aOptions)
+  PassSimulation(const PassSite& aSite, const PassOptions& aOptions)
     : site_(aSite)
     , options_(aOptions)
     , arrivals_(aOptions.seed_)
@@ -97,10 +97,10 @@
     DrawMessageDelays();
     lastAggregates_.resize(static_cast<std::size_t>(site_.zones_));
     results_.resize(site_.classes_.size());
-    firsts_.resize(site_.classes_.size());
+    firstEventTimes_.resize(site_.classes_.size());
   }
 
-  std::vector<PassResult> Play();
+  std::vector<PassResult> Run();
 
   const PassLimitCount& Limited() const { return limits_.Count(); }
 
@@ -160,7 +160,7 @@
   // By zone, the last announced aggregate of each engine.
   std::vector<std::map<std::string, EndpointShare>> lastAggregates_;
   std::vector<PassResult> results_;
-  std::vector<std::vector<double>> firsts_;
+  std::vector<std::vector<double>> firstEventTimes_;
   std::uint64_t nextId_ = 1;
 };
 
--- a/bench/gooseberrylift-pass-send.cc
+++ b/bench/gooseberrylift-pass-send.cc
@@ -19,14 +19,14 @@
 
 // Reserves memory on one helper after another, with one round trip each, and
 // sends the request once all reservations succeeded.
-void PassPlayer::ReserveMemory(const PassRequestPtr& aRequest,
-                               std::size_t aNext)
+void PassSimulation::ReserveMemory(const PassRequestPtr& aRequest,
+                                   std::size_t aNext)
 {
-  while (aNext < aRequest->held_.size() &&
-         (!options_.bounded_ || aRequest->held_[aNext] == 0)) {
+  while (aNext < aRequest->helperTokens_.size() &&
+         (!options_.bounded_ || aRequest->helperTokens_[aNext] == 0)) {
     ++aNext;
   }
-  if (aNext == aRequest->held_.size()) {
+  if (aNext == aRequest->helperTokens_.size()) {
     Launch(aRequest);
     return;
   }
@@ -36,7 +36,8 @@
     }
     const std::string helper = aRequest->helpers_[aNext];
     aRequest->reservationTime_ += 2 * kNetworkDelay;
-    if (EngineOf(helper).Reserve(aRequest->id_, aRequest->held_[aNext])) {
+    if (EngineOf(helper).Reserve(aRequest->id_,
+                                 aRequest->helperTokens_[aNext])) {
       aRequest->reservations_.push_back(helper);
       ReserveMemory(aRequest, aNext + 1);
       return;
@@ -53,8 +54,8 @@
 }
 
 // Handles the rejection of a request, or of a part of it, by an engine.
-void PassPlayer::OnRefused(const PassRequestPtr& aRequest,
-                           const std::shared_ptr<PassJob>& aJob)
+void PassSimulation::OnRefused(const PassRequestPtr& aRequest,
+                               const std::shared_ptr<PassJob>& aJob)
 {
   if (aRequest->done_ || aRequest->job_ != aJob) {
     return;
@@ -64,7 +65,7 @@
   aRequest->job_ = nullptr;
   aRequest->tried_.insert(aRequest->engine_);
   if (aRequest->attempts_ < kMaxAttempts &&
-      hosts_[aRequest->host_].repeats_.TryRetry(
+      hosts_[aRequest->host_].retries_.TryRetry(
         "engines", hosts_.size(), At(clock_))) {
     Send(aRequest);
   } else {
@@ -72,13 +73,13 @@
   }
 }
 
-milliseconds PassPlayer::ShortRetryDelay()
+milliseconds PassSimulation::ShortRetryDelay()
 {
   constexpr std::uint64_t kSpreadMs = 600;
   return milliseconds(200 + random_() % kSpreadMs);
 }
 
-void PassPlayer::Launch(const PassRequestPtr& aRequest)
+void PassSimulation::Launch(const PassRequestPtr& aRequest)
 {
   aRequest->sent_ = clock_.Now();
   ++aRequest->attempts_;
@@ -91,12 +92,13 @@
         .count()) /
     1000;
   job->promptTokens_ = std::max<std::uint64_t>(aRequest->prompt_ / readers, 1);
-  const std::uint64_t held = std::accumulate(
-    aRequest->held_.begin(), aRequest->held_.end(), std::uint64_t{ 0 });
+  const std::uint64_t held = std::accumulate(aRequest->helperTokens_.begin(),
+                                             aRequest->helperTokens_.end(),
+                                             std::uint64_t{ 0 });
   job->memoryTokens_ = aRequest->prompt_ - std::min(aRequest->prompt_, held);
   job->prefillMs_ = partMs;
   job->spread_ = readers > 1;
-  job->urgency_ = options_.defers_ && aRequest->deferred_ ? 1 : 0;
+  job->priority_ = options_.defers_ && aRequest->deferred_ ? 1 : 0;
   job->events_ = aRequest->events_ - aRequest->eventsReceived_;
   job->partsPending_ = static_cast<int>(readers) - 1;
   job->onEvent_ = [this, aRequest, job = std::weak_ptr(job)] {
--- a/bench/gooseberrylift-pass-sites.cc
+++ b/bench/gooseberrylift-pass-sites.cc
@@ -22,7 +22,7 @@
 }
 
 // Parameters of a request class that differ between sites.
-struct Kind
+struct ClassParameters
 {
   double perSecond_;
   double eventsMean_;
@@ -40,12 +40,12 @@
 };
 
 // The three request classes of all sites, sorted by maximum gap.
-std::vector<PassClass> MakeClasses(const Kind& aShort,
-                                   const Kind& aMiddle,
-                                   const Kind& aLong,
+std::vector<PassClass> MakeClasses(const ClassParameters& aShort,
+                                   const ClassParameters& aMiddle,
+                                   const ClassParameters& aLong,
                                    const LongPrompts& aPrompts)
 {
-  const auto make = [](const Kind& aKind, PassClass aClass) {
+  const auto make = [](const ClassParameters& aKind, PassClass aClass) {
     aClass.perSecond_ = aKind.perSecond_;
     aClass.eventsMean_ = aKind.eventsMean_;
     aClass.maxGap_ = aKind.maxGap_;
--- a/bench/gooseberrylift-pass-words.cc
+++ b/bench/gooseberrylift-pass-words.cc
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void PassPlayer::ChooseRemoteListeners()
+void PassSimulation::ChooseRemoteListeners()
 {
   std::vector<std::size_t> all(hosts_.size());
   for (std::size_t host = 0; host < all.size(); ++host) {
@@ -42,7 +42,7 @@
 }
 
 // A host that is short of CPU time delays all of its messages.
-void PassPlayer::DrawMessageDelays()
+void PassSimulation::DrawMessageDelays()
 {
   if (options_.messageDelay_.count() == 0) {
     return;
@@ -54,13 +54,14 @@
   }
 }
 
-bool PassPlayer::IsLost()
+bool PassSimulation::IsLost()
 {
   return options_.messageLoss_ > 0 && std::uniform_real_distribution<>(0, 1)(
                                         random_) < options_.messageLoss_;
 }
 
-bool PassPlayer::ReceivesLoadOf(std::size_t aHost, std::size_t aOfHost) const
+bool PassSimulation::ReceivesLoadOf(std::size_t aHost,
+                                    std::size_t aOfHost) const
 {
   if (aHost == aOfHost) {
     return false;
@@ -71,7 +72,7 @@
           of.remoteListeners_.contains(aHost));
 }
 
-void PassPlayer::SendSnapshots(std::size_t aHost)
+void PassSimulation::SendSnapshots(std::size_t aHost)
 {
   const auto shares = hosts_[aHost].load_.OwnShares(At(clock_));
   clock_.After(hosts_[aHost].messageDelay_, [this, aHost, shares] {
@@ -86,7 +87,7 @@
                [this, aHost] { SendSnapshots(aHost); });
 }
 
-void PassPlayer::SendAggregates(std::size_t aZone)
+void PassSimulation::SendAggregates(std::size_t aZone)
 {
   SendAggregateChanges(aZone);
   clock_.After(options_.sums_.count() * 1000,
@@ -94,7 +95,7 @@
 }
 
 // One host per zone, here the first, aggregates the zone's load for others.
-void PassPlayer::SendAggregateChanges(std::size_t aZone)
+void PassSimulation::SendAggregateChanges(std::size_t aZone)
 {
   const std::string zone = "zone-" + std::to_string(aZone);
   const auto isOfZone = [](const std::string& aHost) {
