--- a/bench/slopes/gooseberrylift-fleet-slopes.cc
+++ b/bench/slopes/gooseberrylift-fleet-slopes.cc
@@ -1,6 +1,7 @@
-// Slopes of whole processes against the number of entry hosts, engines, tokens
-// and prompt bytes, with small fakes for the outside systems. At most 40 entry
-// hosts and 60 engines run at a time; takes about four minutes.
+// Measures how the cost of whole processes scales with the number of entry
+// hosts, engines, tokens and prompt bytes, with small fakes of the external
+// systems. Runs at most 40 entry hosts and 60 engines at a time, and takes
+// about four minutes.
 
 #include <algorithm>
 #include <cstdio>
@@ -21,10 +22,10 @@
 
 namespace {
 
-constexpr std::chrono::seconds kWatch{ 10 };
-// Hosts call the store more often while they join.
+constexpr std::chrono::seconds kIdlePeriod{ 10 };
+// Hosts call the store more often while they join the fleet.
 constexpr std::chrono::seconds kSettle{ 45 };
-constexpr std::chrono::seconds kWatchStore{ 60 };
+constexpr std::chrono::seconds kStorePeriod{ 60 };
 constexpr const char* kConfigurationPath =
   "/apis/gooseberrylift.dev/v1/configurations/main";
 
@@ -36,8 +37,8 @@
                       { "host_list", { { "poll_ms", 1000 } } } } };
 }
 
-// Processor time of a process so far, in microseconds.
-double ProcessorTime(int aPid)
+// Returns the CPU time that a process has used, in microseconds.
+double CpuTimeOf(int aPid)
 {
   std::ifstream file("/proc/" + std::to_string(aPid) + "/stat");
   std::string text;
@@ -53,7 +54,7 @@
   return ticks * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-// A figure of /proc/PID/status in bytes, such as "VmRSS:".
+// Returns a field of /proc/PID/status, such as "VmRSS:", in bytes.
 double MemoryOf(int aPid, const std::string& aField)
 {
   std::ifstream file("/proc/" + std::to_string(aPid) + "/status");
@@ -75,7 +76,7 @@
   return sum;
 }
 
-// What idle hosts cost, as a mean over them.
+// Resource use of idle hosts, averaged over the hosts.
 struct IdleCost
 {
   double corePercent_ = 0;
@@ -87,13 +88,13 @@
   const auto time = [&] {
     double sum = 0;
     for (std::size_t host = 0; host < aDeployment.Hosts(); ++host) {
-      sum += ProcessorTime(aDeployment.At(host).Handle().Pid());
+      sum += CpuTimeOf(aDeployment.At(host).Handle().Pid());
     }
     return sum;
   };
   const double timeBefore = time();
-  std::this_thread::sleep_for(kWatch);
-  const double seconds = static_cast<double>(kWatch.count());
+  std::this_thread::sleep_for(kIdlePeriod);
+  const double seconds = static_cast<double>(kIdlePeriod.count());
   const auto hosts = static_cast<double>(aDeployment.Hosts());
   IdleCost cost{ .corePercent_ =
                    (time() - timeBefore) / (seconds * 1e6) * 100 / hosts };
@@ -111,9 +112,9 @@
   return json::parse(object.value().body_, nullptr, false);
 }
 
-// Writes the configuration with the next generation and waits for all hosts.
-// Gives the time in milliseconds; -1 when a host did not follow in time.
-double MeasureSpread(Deployment& aDeployment)
+// Writes the configuration with the next generation and waits until all hosts
+// applied it. Returns the time in milliseconds, or -1 on timeout.
+double MeasurePropagation(Deployment& aDeployment)
 {
   json object = ReadConfiguration(aDeployment);
   const int generation = object["spec"]["generation"].get<int>() + 1;
@@ -149,7 +150,7 @@
     const IdleCost cost = MeasureIdle(deployment);
     core.push_back({ size, cost.corePercent_ });
     memory.push_back({ size, cost.residentBytes_ });
-    spread.push_back({ size, MeasureSpread(deployment) });
+    spread.push_back({ size, MeasurePropagation(deployment) });
   }
   PrintSlope("idle host with 8 engines", "entry host", "% of a core", core);
   PrintSlope("idle host, resident", "entry host", "bytes", memory);
@@ -160,7 +161,7 @@
              spread);
 }
 
-// Three fleets side by side, 38 hosts in all.
+// Three concurrent fleets with 38 hosts in total.
 void MeasureStoreCalls()
 {
   std::vector<std::unique_ptr<Deployment>> fleets;
@@ -173,13 +174,13 @@
   for (const auto& fleet : fleets) {
     before.push_back(StoreCalls(*fleet));
   }
-  std::this_thread::sleep_for(kWatchStore);
+  std::this_thread::sleep_for(kStorePeriod);
   std::vector<SlopePoint> points;
   for (std::size_t index = 0; index < fleets.size(); ++index) {
     Deployment& fleet = *fleets.at(index);
     const double calls = StoreCalls(fleet) - before.at(index);
     points.push_back({ static_cast<double>(fleet.Hosts()),
-                       calls / static_cast<double>(kWatchStore.count()) });
+                       calls / static_cast<double>(kStorePeriod.count()) });
   }
   PrintSlope("store calls of all hosts, settled and idle",
              "entry host",
@@ -203,11 +204,11 @@
 
 struct RequestCost
 {
-  double processorTime_ = 0; // us for each request
-  double peakBytes_ = 0;     // of resident memory
+  double processorTime_ = 0; // us per request
+  double peakBytes_ = 0;     // peak resident memory
 };
 
-// Sends requests to a fresh host, one after the other, for some seconds.
+// Sends sequential requests to a newly started host for some seconds.
 RequestCost CostOfRequest(std::size_t aPromptBytes, int aTokens)
 {
   Deployment::Options options = FleetOf(1, 2);
@@ -218,7 +219,7 @@
   Deployment deployment(options);
   Host& host = deployment.At(0);
   const int pid = host.Handle().Pid();
-  const double before = ProcessorTime(pid);
+  const double before = CpuTimeOf(pid);
   const TimePoint end = TimerService::Now() + std::chrono::seconds(3);
   int done = 0;
   while (TimerService::Now() < end || done < 5) {
@@ -232,7 +233,7 @@
     }
     ++done;
   }
-  return { .processorTime_ = (ProcessorTime(pid) - before) / done,
+  return { .processorTime_ = (CpuTimeOf(pid) - before) / done,
            .peakBytes_ = MemoryOf(pid, "VmHWM:") };
 }
 
@@ -262,7 +263,7 @@
              memory);
 }
 
-// What one answer to GET /load takes on the wire, without TCP and IP.
+// Returns the size of a GET /load response, without TCP and IP headers.
 void PrintLoadReport()
 {
   Deployment deployment(FleetOf(1, 1));
@@ -270,7 +271,7 @@
   if (!load) {
     return;
   }
-  constexpr std::size_t kStatusLine = 17; // HTTP/1.1 200 OK and its line end
+  constexpr std::size_t kStatusLine = 17; // HTTP/1.1 200 OK and CRLF
   std::size_t head = kStatusLine;
   for (const HttpField& field : load.value().fields_) {
     head += field.name_.size() + field.value_.size() + 4;
