--- a/bench/gooseberrylift-pass-bench-main.cc
+++ b/bench/gooseberrylift-pass-bench-main.cc
@@ -26,7 +26,7 @@
   aSum.lateFirst_ += aOne.lateFirst_;
   aSum.lost_ += aOne.lost_;
   aSum.worth_ += aOne.worth_;
-  aSum.owed_ += aOne.owed_;
+  aSum.maxWorth_ += aOne.maxWorth_;
   aSum.firstP50Ms_ += aOne.firstP50Ms_;
   aSum.firstP99Ms_ += aOne.firstP99Ms_;
   aSum.retries_ += aOne.retries_;
@@ -44,7 +44,7 @@
            { "in_time", aResult.inTime_ },
            { "late", aResult.late_ },
            { "lost", aResult.lost_ },
-           { "worth", aResult.worth_ / aResult.owed_ },
+           { "worth", aResult.worth_ / aResult.maxWorth_ },
            { "first_p50_ms", aResult.firstP50Ms_ / aSeeds },
            { "first_p99_ms", aResult.firstP99Ms_ / aSeeds },
            { "repeats", aResult.retries_ },
@@ -61,7 +61,7 @@
   double owed = 0;
   for (const PassResult& sum : aSums) {
     worth += sum.worth_;
-    owed += sum.owed_;
+    owed += sum.maxWorth_;
     if (aJson) {
       std::cout << JsonOf(sum, aSeeds).dump() << std::endl;
       continue;
@@ -77,7 +77,7 @@
                 100.0 * sum.lateFirst_ / sum.asked_,
                 100.0 * sum.lost_ / sum.asked_,
                 sum.refused_,
-                sum.worth_ / sum.owed_,
+                sum.worth_ / sum.maxWorth_,
                 sum.firstP50Ms_ / aSeeds,
                 sum.firstP99Ms_ / aSeeds,
                 sum.retries_,
@@ -130,15 +130,18 @@
     "--tells", options.announcesLong_, "tell long prompts at once");
   app.add_option(
     "--tells-short", options.announcesShort_, "the same of short ones");
-  const std::map<std::string, PassFar> fars = { { "all", PassFar::kAll },
-                                                { "sample", PassFar::kSample },
-                                                { "sums", PassFar::kSums },
-                                                { "none", PassFar::kNone } };
+  const std::map<std::string, PassRemoteLoad> fars = {
+    { "all", PassRemoteLoad::kAll },
+    { "sample", PassRemoteLoad::kSample },
+    { "sums", PassRemoteLoad::kAggregates },
+    { "none", PassRemoteLoad::kNone }
+  };
   app
-    .add_option("--far", options.far_, "how hosts hear of those of other zones")
+    .add_option(
+      "--far", options.remoteLoad_, "how hosts hear of those of other zones")
     ->transform(CLI::CheckedTransformer(fars));
-  std::int64_t betweenSums = options.sums_.count();
-  std::int64_t whole = options.whole_.count();
+  std::int64_t betweenSums = options.aggregateInterval_.count();
+  std::int64_t whole = options.snapshotInterval_.count();
   app.add_option("--sums-ms", betweenSums, "between two sums of a zone");
   app.add_option("--whole-ms", whole, "between whole words; 0: by rounds");
   app.add_option("--hosts", hosts, "in place of the site's");
@@ -197,9 +200,9 @@
   options.hold_.finalAllowedWait_ = std::chrono::milliseconds(lastWait);
   options.hold_.allowedWait_ = std::chrono::milliseconds(holdWait);
   options.placement_.otherGapPenalty_ = std::chrono::milliseconds(harmOther);
-  options.sums_ = std::chrono::milliseconds(betweenSums);
+  options.aggregateInterval_ = std::chrono::milliseconds(betweenSums);
   options.messageDelay_ = std::chrono::milliseconds(wordDelay);
-  options.whole_ = std::chrono::milliseconds(whole);
+  options.snapshotInterval_ = std::chrono::milliseconds(whole);
   PassSite played = SiteByName(site);
   played.hosts_ = hosts > 0 ? hosts : played.hosts_;
   played.engines_ = engines > 0 ? engines : played.engines_;
@@ -212,7 +215,8 @@
   for (int seed = first; seed < first + seeds; ++seed) {
     options.seed_ = static_cast<std::uint64_t>(seed);
     PassLimitCount count;
-    const std::vector<PassResult> results = PlayPasses(played, options, &count);
+    const std::vector<PassResult> results =
+      SimulateSite(played, options, &count);
     limited.sent_ += count.sent_;
     limited.maxInWindow_ = std::max(limited.maxInWindow_, count.maxInWindow_);
     for (std::size_t kind = 0; kind < sums.size(); ++kind) {
--- a/bench/gooseberrylift-pass-bench.cc
+++ b/bench/gooseberrylift-pass-bench.cc
@@ -360,7 +360,8 @@
   for (const ListedEndpoint* helper : aChoice.helpers_) {
     shares.push_back(load.OwnShare(helper->id_, At(clock_)));
   }
-  if (options_.far_ == PassFar::kSums && aChoice.slowsDecoding_) {
+  if (options_.remoteLoad_ == PassRemoteLoad::kAggregates &&
+      aChoice.slowsDecoding_) {
     clock_.After(kNetworkDelay, [this, zone = hosts_[aHost].zone_] {
       SendAggregateChanges(zone);
     });
@@ -391,14 +392,15 @@
 std::vector<PassResult> PassSimulation::Run()
 {
   for (std::size_t zone = 0; zone < lastAggregates_.size(); ++zone) {
-    if (options_.far_ == PassFar::kSums) {
+    if (options_.remoteLoad_ == PassRemoteLoad::kAggregates) {
       SendAggregates(zone);
     }
   }
   for (std::size_t host = 0; host < hosts_.size(); ++host) {
-    if (options_.whole_.count() > 0) {
+    if (options_.snapshotInterval_.count() > 0) {
       const auto first =
-        random_() % static_cast<std::uint64_t>(options_.whole_.count() * 1000);
+        random_() %
+        static_cast<std::uint64_t>(options_.snapshotInterval_.count() * 1000);
       clock_.After(static_cast<std::int64_t>(first),
                    [this, host] { SendSnapshots(host); });
       continue;
@@ -426,9 +428,9 @@
   return results_;
 }
 
-std::vector<PassResult> PlayPasses(const PassSite& aSite,
-                                   const PassOptions& aOptions,
-                                   PassLimitCount* aLimited)
+std::vector<PassResult> SimulateSite(const PassSite& aSite,
+                                     const PassOptions& aOptions,
+                                     PassLimitCount* aLimited)
 {
   PassSimulation simulation(aSite, aOptions);
   std::vector<PassResult> results = simulation.Run();
--- a/bench/gooseberrylift-pass-bench.h
+++ b/bench/gooseberrylift-pass-bench.h
@@ -60,12 +60,12 @@
 };
 
 // How hosts learn the load of hosts in other availability zones.
-enum class PassFar
+enum class PassRemoteLoad
 {
-  kAll,    // from all of them, as within their own zone
-  kSample, // from a fixed sample of them, as within their own zone
-  kSums,   // from periodic per-zone aggregates
-  kNone    // not at all
+  kAll,        // from all of them, as within their own zone
+  kSample,     // from a fixed sample of them, as within their own zone
+  kAggregates, // from periodic per-zone aggregates
+  kNone        // not at all
 };
 
 struct PassOptions
@@ -77,12 +77,12 @@
   std::size_t partners_ = 4;              // per round
   bool announcesLong_ = true;  // announces placed long prompts immediately
   bool announcesShort_ = true; // announces placed short prompts too
-  PassFar far_ = PassFar::kAll;
-  std::size_t remoteSampleSize_ = 64;     // sample size for kSample
-  std::chrono::milliseconds sums_{ 100 }; // between aggregates
+  PassRemoteLoad remoteLoad_ = PassRemoteLoad::kAll;
+  std::size_t remoteSampleSize_ = 64; // sample size for kSample
+  std::chrono::milliseconds aggregateInterval_{ 100 }; // between aggregates
   // Interval between a host's messages with its complete load, for fleets where
   // it can't announce each change; zero leaves it to the rounds.
-  std::chrono::milliseconds whole_{ 0 };
+  std::chrono::milliseconds snapshotInterval_{ 0 };
   bool holds_ = true; // holds long prompts back while engines are busy
   HoldOptions hold_{};
   bool defers_ = true; // late requests yield to those still in time
@@ -105,10 +105,10 @@
   int asked_ = 0;
   int inTime_ = 0;
   int late_ = 0;
-  int lateFirst_ = 0; // late requests whose first event was late
-  int lost_ = 0;      // refused, or abandoned by the caller
-  double worth_ = 0;  // value earned
-  double owed_ = 0;   // value if all had been in time
+  int lateFirst_ = 0;   // late requests whose first event was late
+  int lost_ = 0;        // refused, or abandoned by the caller
+  double worth_ = 0;    // value earned
+  double maxWorth_ = 0; // value if all had been in time
   double firstP50Ms_ = 0;
   double firstP99Ms_ = 0;
   int retries_ = 0;
@@ -122,9 +122,9 @@
 
 /// Simulates a site; the result is deterministic for the same options.
 /// @param aLimited receives the counts of rate-limited engines
-std::vector<PassResult> PlayPasses(const PassSite& aSite,
-                                   const PassOptions& aOptions,
-                                   PassLimitCount* aLimited = nullptr);
+std::vector<PassResult> SimulateSite(const PassSite& aSite,
+                                     const PassOptions& aOptions,
+                                     PassLimitCount* aLimited = nullptr);
 
 /// Returns a deployment by name: "notes" has 23 engines, "checks" has 18, and
 /// the engines of "contracts" hold hardly more than one long prompt.
--- a/bench/gooseberrylift-pass-callers.cc
+++ b/bench/gooseberrylift-pass-callers.cc
@@ -90,7 +90,7 @@
   request->arrived_ = clock_.Now();
   request->lastArrival_ = clock_.Now();
   ++results_[aClass].asked_;
-  results_[aClass].owed_ += WorthOf(*request) * kind.worth_;
+  results_[aClass].maxWorth_ += WorthOf(*request) * kind.worth_;
   hosts_[request->host_].retries_.OnRequest("engines", At(clock_));
   clock_.After(kind.deadline_.count() * 1000,
                [this, request] { End(request, false); });
--- a/bench/gooseberrylift-pass-words.cc
+++ b/bench/gooseberrylift-pass-words.cc
@@ -67,8 +67,9 @@
     return false;
   }
   const PassHost& of = hosts_[aOfHost];
-  return hosts_[aHost].zone_ == of.zone_ || options_.far_ == PassFar::kAll ||
-         (options_.far_ == PassFar::kSample &&
+  return hosts_[aHost].zone_ == of.zone_ ||
+         options_.remoteLoad_ == PassRemoteLoad::kAll ||
+         (options_.remoteLoad_ == PassRemoteLoad::kSample &&
           of.remoteListeners_.contains(aHost));
 }
 
@@ -83,14 +84,14 @@
       }
     }
   });
-  clock_.After(options_.whole_.count() * 1000,
+  clock_.After(options_.snapshotInterval_.count() * 1000,
                [this, aHost] { SendSnapshots(aHost); });
 }
 
 void PassSimulation::SendAggregates(std::size_t aZone)
 {
   SendAggregateChanges(aZone);
-  clock_.After(options_.sums_.count() * 1000,
+  clock_.After(options_.aggregateInterval_.count() * 1000,
                [this, aZone] { SendAggregates(aZone); });
 }
 
--- a/test/core/gooseberrylift-fleet-placement-test.cc
+++ b/test/core/gooseberrylift-fleet-placement-test.cc
@@ -350,9 +350,10 @@
   double owed = 0;
   for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
     aOptions.seed_ = seed;
-    for (const bench::PassResult& result : bench::PlayPasses(aSite, aOptions)) {
+    for (const bench::PassResult& result :
+         bench::SimulateSite(aSite, aOptions)) {
       score += result.worth_;
-      owed += result.owed_;
+      owed += result.maxWorth_;
     }
   }
   return score / owed;
@@ -400,16 +401,20 @@
     kind.perSecond_ *= 0.205;
   }
   const auto score = [&site](bench::PassOptions aOptions) {
-    aOptions.whole_ = 700ms;
-    aOptions.sums_ = 50ms;
+    aOptions.snapshotInterval_ = 700ms;
+    aOptions.aggregateInterval_ = 50ms;
     return ScoreOf(site, aOptions, 2);
   };
-  const double sums = score({ .far_ = bench::PassFar::kSums });
-  CHECK_TRUE(sums > score({ .far_ = bench::PassFar::kAll }) - 0.03);
-  CHECK_TRUE(sums > score({ .placement_ = { .tieMarginShare_ = 0 },
-                            .far_ = bench::PassFar::kSums }) +
-                      0.05);
-  CHECK_TRUE(sums > score({ .far_ = bench::PassFar::kNone }) + 0.2);
+  const double sums =
+    score({ .remoteLoad_ = bench::PassRemoteLoad::kAggregates });
+  CHECK_TRUE(sums >
+             score({ .remoteLoad_ = bench::PassRemoteLoad::kAll }) - 0.03);
+  CHECK_TRUE(sums >
+             score({ .placement_ = { .tieMarginShare_ = 0 },
+                     .remoteLoad_ = bench::PassRemoteLoad::kAggregates }) +
+               0.05);
+  CHECK_TRUE(sums >
+             score({ .remoteLoad_ = bench::PassRemoteLoad::kNone }) + 0.2);
 }
 
 // The workload of ServesBurstsBetterThanTheBaselines at 1.8 times the load,
@@ -441,9 +446,9 @@
     kind.perSecond_ *= 0.3;
   }
   const auto score = [&site](bench::PassOptions aOptions) {
-    aOptions.whole_ = 700ms;
-    aOptions.sums_ = 200ms;
-    aOptions.far_ = bench::PassFar::kSums;
+    aOptions.snapshotInterval_ = 700ms;
+    aOptions.aggregateInterval_ = 200ms;
+    aOptions.remoteLoad_ = bench::PassRemoteLoad::kAggregates;
     return ScoreOf(site, aOptions, 2);
   };
   const double spread = score({});
