--- a/bench/slopes/gooseberrylift-core-slopes.cc
+++ b/bench/slopes/gooseberrylift-core-slopes.cc
@@ -101,9 +101,9 @@
           sizes,
           [](double aEngines) {
             const double before = HeapBytes();
-            EndpointRegistry book(EndpointRegistry::Options{});
-            book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
-            const std::vector<EndpointView> snapshot = book.Views();
+            EndpointRegistry registry(EndpointRegistry::Options{});
+            registry.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
+            const std::vector<EndpointView> snapshot = registry.Views();
             return HeapBytes() - before;
           });
   Measure("taking in the whole host list",
@@ -111,24 +111,24 @@
           "us",
           sizes,
           [](double aEngines) {
-            EndpointRegistry book(EndpointRegistry::Options{});
+            EndpointRegistry registry(EndpointRegistry::Options{});
             const auto views = EnginesOf(static_cast<int>(aEngines));
-            return MicrosecondsOf([&] { book.OnList(views, TimePoint{}); });
+            return MicrosecondsOf([&] { registry.OnList(views, TimePoint{}); });
           });
   Measure("one load report", "engine", "us", sizes, [](double aEngines) {
-    EndpointRegistry book(EndpointRegistry::Options{});
-    book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
+    EndpointRegistry registry(EndpointRegistry::Options{});
+    registry.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
     EndpointReport report{ .incarnation_ = 1 };
     return MicrosecondsOf([&] {
       ++report.load_.running_;
-      book.OnReport("engine-500", report, TimePoint{});
+      registry.OnReport("engine-500", report, TimePoint{});
     });
   });
   Measure(
     "one snapshot for readers", "engine", "us", sizes, [](double aEngines) {
-      EndpointRegistry book(EndpointRegistry::Options{});
-      book.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
-      return MicrosecondsOf([&] { (void)book.Views(); });
+      EndpointRegistry registry(EndpointRegistry::Options{});
+      registry.OnList(EnginesOf(static_cast<int>(aEngines)), TimePoint{});
+      return MicrosecondsOf([&] { (void)registry.Views(); });
     });
 }
 
--- a/include/gooseberrylift/gooseberrylift-endpoint-registry.h
+++ b/include/gooseberrylift/gooseberrylift-endpoint-registry.h
@@ -27,10 +27,10 @@
 
 // Tracks the state of each endpoint from timestamped events. Not thread-safe.
 //
-//   EndpointRegistry book({});
-//   book.OnList(listed, now);
-//   book.OnReport("engine-1", report, now);
-//   for (const EndpointView& view : book.Views()) ...
+//   EndpointRegistry registry({});
+//   registry.OnList(listed, now);
+//   registry.OnReport("engine-1", report, now);
+//   for (const EndpointView& view : registry.Views()) ...
 class EndpointRegistry
 {
 public:
--- a/include/gooseberrylift/gooseberrylift-sse.h
+++ b/include/gooseberrylift/gooseberrylift-sse.h
@@ -13,9 +13,9 @@
 
 // Incremental parser for an event stream:
 //
-//   SseParser reader;
-//   reader.Feed(piece);
-//   while (const auto data = reader.Next()) ...
+//   SseParser parser;
+//   parser.Feed(chunk);
+//   while (const auto data = parser.Next()) ...
 class SseParser
 {
 public:
--- a/include/gooseberrylift/internal/gooseberrylift-model-runner.h
+++ b/include/gooseberrylift/internal/gooseberrylift-model-runner.h
@@ -46,12 +46,13 @@
   virtual ~TokenSink() = default;
 
   /// Handles the next token.
-  /// @return false to end the generation, because nobody reads on
+  /// @return false to end the generation, because the client has disconnected
+  /// or this host has lost its claim on the job
   virtual boost::asio::awaitable<bool> OnToken(const TokenEvent& aToken) = 0;
 
   /// Called when no further token has been received yet, so that a sink that
   /// buffers tokens can send them.
-  /// @return false to end the generation, because nobody reads on
+  /// @return false to end the generation, because the client has disconnected
   virtual boost::asio::awaitable<bool> Flush() { co_return true; }
 };
 
--- a/src/front/gooseberrylift-config-api.cc
+++ b/src/front/gooseberrylift-config-api.cc
@@ -274,10 +274,10 @@
 }
 
 // Determines whether a conflict was caused by an earlier attempt of the same
-// write whose response was lost. Reporting that as a conflict would lead the
-// operator to apply the change again, or to believe it rejected although it
-// takes effect. The nonce in the object's recent changes identifies this
-// host's write, even after other writes followed it.
+// write whose response was lost. If that were reported as a conflict, the
+// operator might apply the change again, or might believe that the change was
+// rejected although it takes effect. The nonce in the object's recent changes
+// identifies this host's write, even after other writes followed it.
 asio::awaitable<Outcome<void>> ConfigApi::ResolveConflict(std::string aNonce,
                                                           TimePoint aDeadline)
 {
--- a/test/core/gooseberrylift-burn-test.cc
+++ b/test/core/gooseberrylift-burn-test.cc
@@ -32,7 +32,7 @@
 
 TEST_GROUP(BurnTest)
 {
-  BurnCounters ledger_{ BurnCounters::Options{} };
+  BurnCounters counters_{ BurnCounters::Options{} };
   TimePoint start_{ 1000h };
   ServiceObjective objective_{ .firstToken_ = { 300ms, 600ms },
                                .firstTokenShare_ = 0.95,
@@ -41,14 +41,14 @@
   void Record(int aMet, int aMissed, TimePoint aWhen)
   {
     for (int count = 0; count < aMet + aMissed; ++count) {
-      ledger_.Record(Sample("a", count < aMet), objective_, aWhen);
+      counters_.Record(Sample("a", count < aMet), objective_, aWhen);
     }
   }
 
   BurnRow SuccessRow(TimePoint aNow) const
   {
     const auto rows =
-      EvaluateBurn(ledger_.Tally(aNow), { { "chat", objective_ } });
+      EvaluateBurn(counters_.Tally(aNow), { { "chat", objective_ } });
     for (const BurnRow& row : rows) {
       if (row.key_.objective_ == BurnObjective::kSuccess) {
         return row;
@@ -89,7 +89,7 @@
   const BurnRow later = SuccessRow(start_ + 6min);
   LONGS_EQUAL(0, later.counts_.at(kFiveMinutes).missed_);
   LONGS_EQUAL(5, later.counts_.at(kHalfHour).missed_);
-  CHECK_TRUE(ledger_.Tally(start_ + 7h).empty());
+  CHECK_TRUE(counters_.Tally(start_ + 7h).empty());
 }
 
 // A ring buffer slot is reused after six hours. If it were not cleared first,
@@ -107,12 +107,12 @@
 {
   BurnSample sample = Sample("a", true);
   sample.firstToken_ = 400ms; // above the bound of le4k, within that of le10k
-  ledger_.Record(sample, objective_, start_);
+  counters_.Record(sample, objective_, start_);
   sample.promptTokens_ = 5000;
-  ledger_.Record(sample, objective_, start_);
+  counters_.Record(sample, objective_, start_);
   sample.promptTokens_ = 50'000; // a band without a bound
-  ledger_.Record(sample, objective_, start_);
-  const BurnTally tally = ledger_.Tally(start_);
+  counters_.Record(sample, objective_, start_);
+  const BurnTally tally = counters_.Tally(start_);
   const auto counts = [&](std::size_t aBand) {
     return tally.at({ "a", "chat", aBand, BurnObjective::kFirstToken })
       .at(kHour);
@@ -126,8 +126,8 @@
 {
   BurnSample sample = Sample("a", false);
   sample.firstToken_ = std::nullopt;
-  ledger_.Record(sample, objective_, start_);
-  CHECK((ledger_.Tally(start_)
+  counters_.Record(sample, objective_, start_);
+  CHECK((counters_.Tally(start_)
            .at({ "a", "chat", 0, BurnObjective::kFirstToken })
            .at(kHour) == BurnCounts{ .missed_ = 1 }));
 }
@@ -149,7 +149,7 @@
     const TimePoint when = start_ + std::chrono::minutes(count / 10);
     const std::size_t host = generator() % 3;
     hosts.at(host).Record(sample, objective_, when);
-    ledger_.Record(sample, objective_, when);
+    counters_.Record(sample, objective_, when);
     times.at(host).Record("chat", sample.promptTokens_, *sample.firstToken_);
     allTimes.Record("chat", sample.promptTokens_, *sample.firstToken_);
   }
@@ -163,18 +163,18 @@
       sentTimes.Add(bin);
     }
   }
-  CHECK(merged == ledger_.Tally(start_ + 300min));
+  CHECK(merged == counters_.Tally(start_ + 300min));
   CHECK(mergedTimes.NonEmptyBins() == allTimes.NonEmptyBins());
   CHECK(sentTimes.NonEmptyBins() == allTimes.NonEmptyBins());
 }
 
 TEST(BurnTest, SortsTeamsByBurnRate)
 {
-  ledger_.Record(Sample("calm", true), objective_, start_);
-  ledger_.Record(Sample("burning", true), objective_, start_);
-  ledger_.Record(Sample("burning", false), objective_, start_);
+  counters_.Record(Sample("calm", true), objective_, start_);
+  counters_.Record(Sample("burning", true), objective_, start_);
+  counters_.Record(Sample("burning", false), objective_, start_);
   const auto rows =
-    EvaluateBurn(ledger_.Tally(start_), { { "chat", objective_ } });
+    EvaluateBurn(counters_.Tally(start_), { { "chat", objective_ } });
   STRCMP_EQUAL("burning", rows.front().key_.team_.c_str());
   CHECK(rows.front().key_.objective_ == BurnObjective::kSuccess);
   STRCMP_EQUAL("calm", rows.back().key_.team_.c_str());
@@ -205,10 +205,10 @@
   objective_.successShare_ = 0.9995;
   BurnSample sample = Sample("front-desk", false);
   sample.service_ = "room-state";
-  ledger_.Record(sample, objective_, start_);
+  counters_.Record(sample, objective_, start_);
   const BurnDocument document{ .hosts_ = { "entry-1" },
                                .objectives_ = { { "room-state", objective_ } },
-                               .tally_ = ledger_.Tally(start_) };
+                               .tally_ = counters_.Tally(start_) };
   const std::string report = BurnReportText(document, {});
   STRCMP_CONTAINS("\nfront-desk  room-state  le4k  whole  2000  2000  2000  "
                   "2000  -999%     spent\n",
@@ -225,7 +225,7 @@
   BurnDocument document{ .hosts_ = { "entry-1" },
                          .generation_ = 7,
                          .objectives_ = { { "chat", objective_ } },
-                         .tally_ = ledger_.Tally(start_) };
+                         .tally_ = counters_.Tally(start_) };
   document.firstTokens_.Record("chat", 100, 200ms);
   const auto read = ParseBurnDocument(SerializeBurnDocument(document));
   CHECK_TRUE(read.has_value());
--- a/test/integration/gooseberrylift-configuration-test.cc
+++ b/test/integration/gooseberrylift-configuration-test.cc
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::chrono::seconds kTimeout(30);
-// The bound that the issue requires; measured times are far lower.
+// Requirement for small fleets: running hosts apply a change within this time.
 constexpr milliseconds kPropagationLimit(2000);
 constexpr std::uint64_t kInitialGeneration = 1;
 
