--- a/test/integration/gooseberrylift-evacuation-test.cc
+++ b/test/integration/gooseberrylift-evacuation-test.cc
@@ -104,7 +104,8 @@
   deployment.Put(EvacuationOf("zone-a"), json::object());
   WaitForEvacuationState(deployment.At(0), true);
   const auto asked = std::chrono::steady_clock::now();
-  const HttpResponse refused = deployment.Ask(StreamRequest("at-1")).value();
+  const HttpResponse refused =
+    deployment.SendToFirstHost(StreamRequest("at-1")).value();
   LONGS_EQUAL(503, refused.status_);
   CHECK_TRUE(std::chrono::steady_clock::now() - asked < 500ms);
   CHECK_TRUE(std::stod(std::string(refused.Field("Retry-After"))) > 0);
@@ -119,7 +120,7 @@
     std::this_thread::sleep_for(200ms);
     deployment.Put(EvacuationOf("zone-a"), json::object());
   });
-  const auto stream = deployment.Ask(StreamRequest("at-1"));
+  const auto stream = deployment.SendToFirstHost(StreamRequest("at-1"));
   operatorThread.join();
   LONGS_EQUAL(200, stream.value().status_);
   CHECK_TRUE(stream.value().body_.find("id: 5") != std::string::npos);
